--- a/components/admission/src/event.rs
+++ b/components/admission/src/event.rs
@@ -68,7 +68,7 @@
         report: Report,
     },
     /// A chat was answered elsewhere.
-    Note(Note),
+    DirectoryUpdate(Note),
     /// The platform's list of the other members of the pool came.
     Peers(Vec<Peer>),
     /// Time passed.
@@ -123,5 +123,5 @@
         report: Report,
     },
     /// Nothing is in flight any more after a `Leave`.
-    Left,
+    Drained,
 }
--- a/components/admission/src/state.rs
+++ b/components/admission/src/state.rs
@@ -106,14 +106,14 @@
             Event::Failed { call, kind } => self.failed(call, kind),
             Event::Pool { pool, sum } => self.hear_pool(pool, sum, now),
             Event::Report { call, report } => self.report(call, &report, now),
-            Event::Note(note) => self.note(note),
+            Event::DirectoryUpdate(note) => self.note(note),
             Event::Peers(peers) => self.peers(peers, now),
             Event::Tick => self.tick(now),
             Event::Leave => self.leave(),
         };
         self.fill(now, &mut effects);
         if self.leaving && self.calls.is_empty() {
-            effects.push(Effect::Left);
+            effects.push(Effect::Drained);
         }
         effects
     }
--- a/components/admission/tests/stateful.rs
+++ b/components/admission/tests/stateful.rs
@@ -330,7 +330,7 @@
                     self.frame(call, &frame);
                     self.last_frame(call, &frame);
                 }
-                Effect::Report { .. } | Effect::Left => {}
+                Effect::Report { .. } | Effect::Drained => {}
             }
         }
     }
--- a/components/experiment/src/world.rs
+++ b/components/experiment/src/world.rs
@@ -230,7 +230,7 @@
             Event::Restart(place) => self.restart(place),
             Event::Return(place) => self.come_back(place),
             Event::Note { sidecar, note } => {
-                self.apply_sidecar(sidecar, admission::Event::Note(note));
+                self.apply_sidecar(sidecar, admission::Event::DirectoryUpdate(note));
             }
             Event::List => self.list(),
             Event::Pool { sidecar, pool, sum } => {
@@ -323,7 +323,7 @@
                     let event = Event::Report { sidecar, from: place, report };
                     self.queue.add(self.later(), event);
                 }
-                admission::Effect::Abort { .. } | admission::Effect::Left => {}
+                admission::Effect::Abort { .. } | admission::Effect::Drained => {}
             }
         }
     }
--- a/components/load/src/caller.rs
+++ b/components/load/src/caller.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use snafu::ensure;
 
-use crate::error::ShortSnafu;
+use crate::error::TruncatedSnafu;
 use crate::{Answer, Error, Reply};
 
 /// How long an idle connection is kept.
@@ -174,7 +174,7 @@
 }
 
 fn broken(fault: impl std::fmt::Display) -> Error {
-    Error::Broken { reason: fault.to_string() }
+    Error::Connection { reason: fault.to_string() }
 }
 
 async fn accepted(response: ClientResponse) -> Result<ClientResponse, Error> {
@@ -198,7 +198,7 @@
     let (request, upstream) = names(&response);
     let body: Value = response.json().limit(MAX_ANSWER).await.map_err(broken)?;
     let text = body["choices"][0]["message"]["content"].as_str();
-    let text = text.ok_or_else(|| Error::Shape { reason: body.to_string() })?;
+    let text = text.ok_or_else(|| Error::Malformed { reason: body.to_string() })?;
     let mut answer = empty(request, upstream);
     answer.text.push_str(text);
     count(&mut answer, &body["usage"]);
@@ -219,7 +219,7 @@
             continue;
         }
         let body: Value = serde_json::from_str(&event.data)
-            .map_err(|fault| Error::Shape { reason: fault.to_string() })?;
+            .map_err(|fault| Error::Malformed { reason: fault.to_string() })?;
         if event.event == "error" {
             return Err(Error::read(200, event.data));
         }
@@ -229,7 +229,7 @@
         answer.text.push_str(body["choices"][0]["delta"]["content"].as_str().unwrap_or(""));
         count(&mut answer, &body["usage"]);
     }
-    ensure!(done, ShortSnafu { text: answer.text });
+    ensure!(done, TruncatedSnafu { text: answer.text });
     answer.whole = asked.elapsed();
     Ok(answer)
 }
--- a/components/load/src/error.rs
+++ b/components/load/src/error.rs
@@ -11,7 +11,7 @@
 pub enum Error {
     /// The connection failed, or broke off.
     #[snafu(display("the connection broke: {reason}"))]
-    Broken {
+    Connection {
         /// What the client says.
         reason: String,
     },
@@ -31,13 +31,13 @@
     },
     /// The stream ended without its last event.
     #[snafu(display("the answer is not whole: {text}"))]
-    Short {
+    Truncated {
         /// What came.
         text: String,
     },
     /// The answer can't be read.
     #[snafu(display("the answer can't be read: {reason}"))]
-    Shape {
+    Malformed {
         /// What is wrong.
         reason: String,
     },
--- a/components/pace/src/lib.rs
+++ b/components/pace/src/lib.rs
@@ -8,7 +8,7 @@
 use clock::Millis;
 
 /// The percentage that an upstream tells when work takes as long as usual.
-pub const AS_USUAL: u32 = 100;
+pub const NOMINAL_PERCENT: u32 = 100;
 
 /// The least and the most that is believed, as percentages: what is beyond is no pace but a
 /// fault of the upstream, which the outcomes of its requests tell better.
@@ -42,7 +42,7 @@
 impl Pace {
     /// Takes the percentage of the usual time that work took the upstream at `at`; one that was
     /// told earlier than the latest says nothing.
-    pub fn tell(&mut self, percent: u32, at: Millis) {
+    pub fn record(&mut self, percent: u32, at: Millis) {
         let latest = multiple(percent);
         let Some(known) = self.told else {
             self.told = Some(Told { usual: latest, latest, at });
@@ -68,12 +68,12 @@
 
     /// How long an answer takes to begin that would take `base_ms` at the usual pace without a
     /// queue, and would wait for `wait_ms` beyond that: the time beyond `base_ms`.
-    pub fn beyond_ms(&self, base_ms: f64, wait_ms: f64, now: Millis) -> f64 {
+    pub fn expected_wait_ms(&self, base_ms: f64, wait_ms: f64, now: Millis) -> f64 {
         let factor = self.factor(now);
         (factor * (base_ms + wait_ms) - base_ms).max(0.0)
     }
 }
 
 fn multiple(percent: u32) -> f64 {
-    f64::from(percent.clamp(LEAST, MOST)) / f64::from(AS_USUAL)
+    f64::from(percent.clamp(LEAST, MOST)) / f64::from(NOMINAL_PERCENT)
 }
--- a/components/places/src/look.rs
+++ b/components/permits/src/decision.rs
@@ -7,7 +7,7 @@
 
 /// A decision for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Line {
+pub struct Decision {
     /// The router that asked.
     pub router: Arc<str>,
     /// Its number for the request.
@@ -22,11 +22,11 @@
 
 /// A pool at a glance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Look {
+pub struct Snapshot {
     /// How many permits may be out.
     pub limit: usize,
     /// How many are.
-    pub out: usize,
+    pub in_flight: usize,
     /// How many requests wait.
     pub waiting: usize,
     /// How many requests the pool answers in 1,000 s.
--- a/components/places/src/ledger.rs
+++ b/components/permits/src/issuer.rs
@@ -6,11 +6,11 @@
 use clock::Millis;
 use wire::{Claim, Claims, Finish, Held, Release, Turn, Verdict};
 
-use crate::bookings::Bookings;
+use crate::retries::Retries;
 use crate::limit::Limit;
-use crate::look::{Line, Look};
+use crate::decision::{Decision, Snapshot};
 use crate::settings::{Settings, Wait};
-use crate::turns::{Queue, Waiter};
+use crate::queue::{Queue, Waiter};
 
 /// After how long a permit is free again that its router does not name. Routers name theirs each
 /// 200 ms.
@@ -56,12 +56,12 @@
 
 /// The owner's state of one pool.
 #[derive(Clone, Debug)]
-pub struct Ledger {
+pub struct Issuer {
     settings: Settings,
     places: BTreeMap<Arc<str>, Place>,
     grants: HashMap<Id, Grant>,
     queue: Queue,
-    bookings: Bookings,
+    bookings: Retries,
     /// Asks that have come since the last turn.
     fresh: Vec<Id>,
     decided: HashMap<Id, (Option<Turn>, Millis)>,
@@ -70,7 +70,7 @@
     busy: Millis,
 }
 
-impl Ledger {
+impl Issuer {
     /// A ledger that knows nothing yet.
     pub fn new(settings: Settings, now: Millis) -> Self {
         Self {
@@ -78,7 +78,7 @@
             places: BTreeMap::new(),
             grants: HashMap::new(),
             queue: Queue::default(),
-            bookings: Bookings::default(),
+            bookings: Retries::default(),
             fresh: Vec::new(),
             decided: HashMap::new(),
             objective: OBJECTIVE,
@@ -88,7 +88,7 @@
     }
 
     /// Takes which upstreams may be used, and their slots. What is out elsewhere stays counted.
-    pub fn list(&mut self, upstreams: &[(Arc<str>, u64)]) {
+    pub fn set_upstreams(&mut self, upstreams: &[(Arc<str>, u64)]) {
         for (name, place) in &mut self.places {
             place.listed = upstreams.iter().any(|(it, _)| it == name);
         }
@@ -104,7 +104,7 @@
 
     /// Takes what a router tells and asks; returns what it is to be told at once: how asks that
     /// came before were decided. Messages may come late, twice or never.
-    pub fn hear(&mut self, claims: &Claims, now: Millis) -> Vec<Verdict> {
+    pub fn receive(&mut self, claims: &Claims, now: Millis) -> Vec<Verdict> {
         for held in &claims.held {
             self.hold(&claims.router, held, now);
         }
@@ -117,7 +117,7 @@
 
     /// Decides what can be decided: who gets a place, and who is refused. Routers are told at once
     /// of what waits, so that they know that the owner is there and how long messages take.
-    pub fn turn(&mut self, now: Millis) -> Vec<Line> {
+    pub fn decide(&mut self, now: Millis) -> Vec<Decision> {
         self.expire(now);
         let mut lines = Vec::new();
         while let Some((waiter, upstream)) = self.next(now) {
@@ -136,29 +136,29 @@
     }
 
     /// The pool is short, or still is: an upstream of it has turned a request away.
-    pub fn runs_short(&mut self, now: Millis) {
+    pub fn mark_saturated(&mut self, now: Millis) {
         self.busy = now;
     }
 
     /// Whether the pool is short no more.
-    pub fn is_calm(&self, now: Millis) -> bool {
+    pub fn has_recovered(&self, now: Millis) -> bool {
         self.busy.until(now) > CALM
     }
 
     /// The pool at a glance.
-    pub fn look(&self, now: Millis) -> Look {
+    pub fn snapshot(&self, now: Millis) -> Snapshot {
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "bounded")]
         let rate = (self.rate_per_ms(now) * 1_000_000.0).min(f64::from(u32::MAX)) as u32;
-        Look {
+        Snapshot {
             limit: self.open(now).map(|(_, it)| it.limit.permits(self.objective, now)).sum(),
-            out: self.grants.len(),
+            in_flight: self.grants.len(),
             waiting: self.queue.len(),
             rate,
         }
     }
 
     /// The upstreams, how many permits each may have out, and how many it has.
-    pub fn places(&self, now: Millis) -> impl Iterator<Item = (&Arc<str>, usize, usize)> {
+    pub fn upstreams(&self, now: Millis) -> impl Iterator<Item = (&Arc<str>, usize, usize)> {
         let permits = move |it: &Place| it.limit.permits(self.objective, now);
         self.places.iter().map(move |(name, it)| (name, permits(it), it.out))
     }
@@ -213,7 +213,7 @@
         let known = self.grants.get(&id).map(|it| it.upstream.clone());
         let first = known.is_some() || !self.decided.contains_key(&id);
         // An ask that comes later than this is of no interest to anybody.
-        self.decide(&id, None, now);
+        self.record_decision(&id, None, now);
         let upstream = known.unwrap_or_else(|| release.upstream.clone());
         if let Some(place) = self.places.get_mut(&upstream).filter(|_| first) {
             let out = self.grants.get(&id).map_or(Millis::ZERO, |it| it.at.until(now));
@@ -309,32 +309,32 @@
         free
     }
 
-    fn grant(&mut self, waiter: Waiter, upstream: &Arc<str>, now: Millis) -> Line {
+    fn grant(&mut self, waiter: Waiter, upstream: &Arc<str>, now: Millis) -> Decision {
         self.take(waiter.id.clone(), upstream, now);
         self.line(waiter, Turn::Granted(upstream.clone()), now)
     }
 
-    fn refuse(&mut self, waiter: Waiter, now: Millis) -> Line {
+    fn refuse(&mut self, waiter: Waiter, now: Millis) -> Decision {
         let rate = self.rate_per_ms(now);
         let after = self.bookings.book(waiter.content, waiter.objective, rate, now);
         let after = u32::try_from(after.0).unwrap_or(u32::MAX);
         self.line(waiter, Turn::Refused(after), now)
     }
 
-    fn waits(&self, id: Id, now: Millis) -> Option<Line> {
+    fn waits(&self, id: Id, now: Millis) -> Option<Decision> {
         let waiter = self.queue.get(&id)?;
         let (workspace, age) = (waiter.workspace.clone(), waiter.came.until(now));
-        Some(Line { router: id.0, number: id.1, workspace, turn: Turn::Waits, waited: age })
+        Some(Decision { router: id.0, number: id.1, workspace, turn: Turn::Waits, waited: age })
     }
 
-    fn line(&mut self, waiter: Waiter, turn: Turn, now: Millis) -> Line {
-        self.decide(&waiter.id, Some(turn.clone()), now);
+    fn line(&mut self, waiter: Waiter, turn: Turn, now: Millis) -> Decision {
+        self.record_decision(&waiter.id, Some(turn.clone()), now);
         let (router, number) = waiter.id;
         let age = waiter.came.until(now);
-        Line { router, number, workspace: waiter.workspace, turn, waited: age }
+        Decision { router, number, workspace: waiter.workspace, turn, waited: age }
     }
 
-    fn decide(&mut self, id: &Id, turn: Option<Turn>, now: Millis) {
+    fn record_decision(&mut self, id: &Id, turn: Option<Turn>, now: Millis) {
         self.decided.insert(id.clone(), (turn, now));
     }
 }
--- a/components/places/src/turns.rs
+++ b/components/permits/src/queue.rs
@@ -12,7 +12,7 @@
 
 use clock::Millis;
 
-use crate::bookings::Standing;
+use crate::retries::Timing;
 
 /// Of so many places one goes by shares alone, whatever the urgency.
 const FLOOR: u32 = 8;
@@ -56,7 +56,7 @@
     /// Whether it may be repeated.
     pub repeatable: bool,
     /// How it stands to the time that it was told.
-    pub standing: Standing,
+    pub standing: Timing,
     /// Since when it waits.
     pub came: Millis,
     /// Until when it may wait.
@@ -97,10 +97,10 @@
         let order = |it: &Waiter| {
             let urgency = if by_share { 0 } else { it.urgency };
             // A caller that keeps its time is a turn ahead of new ones.
-            let ahead = u64::from(it.standing == Standing::Kept);
+            let ahead = u64::from(it.standing == Timing::OnTime);
             let tag = (self.tag(&it.workspace) + 1).saturating_sub(ahead);
             // One that comes before its time gains nothing.
-            (urgency, it.standing == Standing::Early, tag, it.standing, it.repeatable)
+            (urgency, it.standing == Timing::Early, tag, it.standing, it.repeatable)
         };
         let key = |it: &Waiter| {
             let order = (!it.is_settled(now)).then(|| order(it));
@@ -180,7 +180,7 @@
             let waiter = left.remove(next);
             let before = u32::try_from(self.waiting.len() + 1).unwrap_or(u32::MAX);
             let wait = f64::from(before) / rate_per_ms.max(0.000_1);
-            let gives_way = waiter.standing == Standing::Early || above.contains(&waiter.workspace);
+            let gives_way = waiter.standing == Timing::Early || above.contains(&waiter.workspace);
             let sure = if gives_way { SURE_ABOVE } else { SURE };
             if self.waiting.len() < MOST && is_in_time(&waiter, wait / sure, now) {
                 turns.serve(&waiter.workspace);
--- a/components/places/src/requester.rs
+++ b/components/permits/src/requester.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use crate::bookings::LONGEST;
+use crate::retries::LONGEST;
 use clock::Millis;
 use wire::{Claim, Claims, Finish, Held, Release, Short, Turn, Verdict};
 
@@ -45,7 +45,7 @@
 
 /// What has come of an ask.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum Resolution {
     /// It may be sent to this upstream.
     Granted(Arc<str>),
     /// It is refused; its caller may come back in so many milliseconds.
@@ -102,18 +102,18 @@
     }
 
     /// The pool is short, as its owner says.
-    pub fn shorten(&mut self, short: &Short) {
+    pub fn receive_saturation(&mut self, short: &Short) {
         self.rate = f64::from(short.rate) / 1_000_000.0;
     }
 
     /// A request asks for a place.
-    pub fn ask(&mut self, claim: Claim, now: Millis) {
+    pub fn request(&mut self, claim: Claim, now: Millis) {
         let asked = Asked { claim, came: now, first: now, sent: None, waits: false };
         self.asked.insert(asked.claim.number, asked);
     }
 
     /// The owner has decided. An ask that was given up is released if it was granted.
-    pub fn take(&mut self, verdict: &Verdict, now: Millis) -> Option<Answer> {
+    pub fn receive(&mut self, verdict: &Verdict, now: Millis) -> Option<Resolution> {
         self.silent_at = None;
         let Some(asked) = self.asked.get_mut(&verdict.number) else {
             self.learn_late(verdict.number, now);
@@ -136,11 +136,11 @@
             Turn::Granted(upstream) => {
                 self.asked.remove(&verdict.number);
                 self.held.insert(verdict.number, upstream.clone());
-                Some(Answer::Granted(upstream.clone()))
+                Some(Resolution::Granted(upstream.clone()))
             }
             Turn::Refused(after) => {
                 self.asked.remove(&verdict.number);
-                Some(Answer::Refused(u64::from(*after)))
+                Some(Resolution::Refused(u64::from(*after)))
             }
         }
     }
@@ -161,7 +161,7 @@
     }
 
     /// Gives up asks that no owner answers; `routers` share the pool.
-    pub fn give_up(&mut self, routers: usize, now: Millis) -> Vec<(u64, Answer)> {
+    pub fn expire(&mut self, routers: usize, now: Millis) -> Vec<(u64, Resolution)> {
         let avoids = self.silent_at.is_some_and(|it| it.until(now) < AVOIDS);
         let over = |it: &Asked| {
             let objective = u64::from(it.claim.objective_ms);
@@ -186,7 +186,7 @@
         }
     }
 
-    fn decide_alone(&mut self, number: u64, routers: usize, now: Millis) -> Answer {
+    fn decide_alone(&mut self, number: u64, routers: usize, now: Millis) -> Resolution {
         if let Some(sent) = self.asked.get(&number).filter(|it| !it.waits).map(|it| it.first) {
             if self.silent_at.is_none_or(|it| it.until(now) >= AVOIDS) {
                 self.silent_at = Some(now);
@@ -202,14 +202,14 @@
         let gap = (parts / self.rate.max(LEAST_RATE)) as u64;
         if self.own_at > now {
             let after = Millis(now.until(self.own_at).0.clamp(LEAST_AFTER.0, LONGEST.0));
-            return Answer::Refused(after.0);
+            return Resolution::Refused(after.0);
         }
         self.own_at = now + Millis(gap);
-        Answer::Unanswered
+        Resolution::Unanswered
     }
 
     /// What the owner is to be told now.
-    pub fn tell(&mut self, now: Millis) -> Vec<Claims> {
+    pub fn take_claims(&mut self, now: Millis) -> Vec<Claims> {
         let round = self.round.unwrap_or(AGAIN);
         let again = round + round;
         let mut asks = Vec::new();
--- a/components/places/src/bookings.rs
+++ b/components/permits/src/retries.rs
@@ -21,9 +21,9 @@
 
 /// How a caller stands to the time that it was told.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum Timing {
     /// It comes at its time.
-    Kept,
+    OnTime,
     /// It was told none.
     #[default]
     New,
@@ -33,12 +33,12 @@
 
 /// The times that callers were told.
 #[derive(Clone, Debug, Default)]
-pub struct Bookings {
+pub struct Retries {
     times: HashMap<u64, Millis>,
     latest: Millis,
 }
 
-impl Bookings {
+impl Retries {
     /// Books a time for the caller with `content`, `soonest` from now at the earliest, in a pool
     /// that answers `rate_per_ms`. Returns how long it is until then. A caller that comes
     /// before its time keeps it.
@@ -59,13 +59,13 @@
     }
 
     /// How a caller stands that comes now; the booking of one that keeps its time is used up.
-    pub fn standing(&mut self, content: u64, now: Millis) -> Standing {
-        let Some(time) = self.times.get(&content).copied() else { return Standing::New };
+    pub fn standing(&mut self, content: u64, now: Millis) -> Timing {
+        let Some(time) = self.times.get(&content).copied() else { return Timing::New };
         if time > now + EARLY {
-            return Standing::Early;
+            return Timing::Early;
         }
         self.times.remove(&content);
-        if time + KEPT > now { Standing::Kept } else { Standing::New }
+        if time + KEPT > now { Timing::OnTime } else { Timing::New }
     }
 
     /// How many are kept.
--- a/components/places/tests/ledger.rs
+++ b/components/permits/tests/issuer.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use clock::Millis;
-use places::{Ledger, Settings};
+use permits::{Issuer, Settings};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use wire::{Claim, Claims, Finish, Held, Release, Turn};
@@ -50,7 +50,7 @@
 
 /// The owner, and what routers were told.
 struct Play {
-    ledger: Ledger,
+    ledger: Issuer,
     now: Millis,
     asks: Vec<(u8, Claim)>,
     told: BTreeMap<u64, BTreeSet<&'static str>>,
@@ -61,8 +61,8 @@
 impl Play {
     fn new() -> Self {
         let now = Millis(1_000);
-        let mut ledger = Ledger::new(Settings::default(), now);
-        ledger.list(&[("up-0".into(), 6)]);
+        let mut ledger = Issuer::new(Settings::default(), now);
+        ledger.set_upstreams(&[("up-0".into(), 6)]);
         Self { ledger, now, asks: Vec::new(), told: BTreeMap::new(), got: BTreeMap::new() }
     }
 
@@ -105,7 +105,7 @@
             }
             Step::Upstreams(count) => {
                 let names = (0..*count).map(|it| (Arc::from(format!("up-{it}")), 6));
-                self.ledger.list(&names.collect::<Vec<_>>());
+                self.ledger.set_upstreams(&names.collect::<Vec<_>>());
             }
             Step::Pass(ms) => self.now = self.now + Millis(*ms),
             Step::Again(_) | Step::Release { .. } => {}
@@ -119,14 +119,14 @@
     }
 
     fn hear(&mut self, claims: &Claims) {
-        for verdict in self.ledger.hear(claims, self.now) {
+        for verdict in self.ledger.receive(claims, self.now) {
             self.note(verdict.number, &verdict.turn);
         }
     }
 
     fn decide(&mut self) {
-        let lines = self.ledger.turn(self.now);
-        let places: Vec<_> = self.ledger.places(self.now).collect();
+        let lines = self.ledger.decide(self.now);
+        let places: Vec<_> = self.ledger.upstreams(self.now).collect();
         for line in &lines {
             if let Turn::Granted(upstream) = &line.turn {
                 let place = places.iter().find(|it| it.0 == upstream).expect("a place");
@@ -167,12 +167,12 @@
         for _ in 0..u64::from(OBJECTIVE) / 10 {
             play.take(&Step::Pass(10));
         }
-        prop_assert_eq!(play.ledger.look(play.now).waiting, 0);
+        prop_assert_eq!(play.ledger.snapshot(play.now).waiting, 0);
         // Nobody names any permit.
         for _ in 0..10 {
             play.take(&Step::Pass(100));
         }
-        prop_assert_eq!(play.ledger.look(play.now).out, 0);
+        prop_assert_eq!(play.ledger.snapshot(play.now).in_flight, 0);
     }
 
     #[test]
--- a/components/places/tests/limit.rs
+++ b/components/permits/tests/limit.rs
@@ -1,7 +1,7 @@
 //! How many requests an upstream is taken to bear.
 
 use clock::Millis;
-use places::{Ledger, Limit, Settings};
+use permits::{Issuer, Limit, Settings};
 use wire::{Claims, Held};
 
 const OBJECTIVE: Millis = Millis(300);
@@ -66,15 +66,15 @@
 fn an_upstream_that_was_named_before_it_was_listed_bears_what_it_lists() {
     let held = vec![Held { upstream: "up-0".into(), numbers: vec![1] }];
     let claims = Claims { router: "router-1".into(), held, ..Claims::default() };
-    let mut named = Ledger::new(Settings::default(), NOW);
-    named.hear(&claims, NOW);
-    let mut listed = Ledger::new(Settings::default(), NOW);
+    let mut named = Issuer::new(Settings::default(), NOW);
+    named.receive(&claims, NOW);
+    let mut listed = Issuer::new(Settings::default(), NOW);
     for ledger in [&mut named, &mut listed] {
-        ledger.list(&[("up-0".into(), 40)]);
+        ledger.set_upstreams(&[("up-0".into(), 40)]);
     }
-    let permits = |ledger: &Ledger| ledger.places(NOW).map(|it| it.1).sum::<usize>();
+    let permits = |ledger: &Issuer| ledger.upstreams(NOW).map(|it| it.1).sum::<usize>();
     assert_eq!(permits(&named), permits(&listed));
     // The same where the list says something else later.
-    listed.list(&[("up-0".into(), 6)]);
+    listed.set_upstreams(&[("up-0".into(), 6)]);
     assert!(permits(&listed) < permits(&named));
 }
--- a/components/places/tests/loads/main.rs
+++ b/components/permits/tests/loads/main.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use places::{Settings, Wait};
+use permits::{Settings, Wait};
 use world::{Comes, Setup, Sums, World};
 
 /// The most of all arrivals that an upstream may turn away.
--- a/components/places/tests/loads/world.rs
+++ b/components/permits/tests/loads/world.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use clock::Millis;
-use places::{Answer, Ledger, Requester, Settings};
+use permits::{Resolution, Issuer, Requester, Settings};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use wire::{Claim, Claims, Finish, Short, Turn, Verdict};
@@ -129,7 +129,7 @@
     setup: Setup,
     random: ChaCha8Rng,
     requesters: Vec<Requester>,
-    owners: [Ledger; 2],
+    owners: [Issuer; 2],
     messages: BTreeMap<u64, Vec<Message>>,
     arrivals: BTreeMap<u64, Vec<(usize, Request)>>,
     requests: HashMap<u64, (usize, Request)>,
@@ -147,7 +147,7 @@
     pub fn play(setup: Setup) -> Sums {
         let name = |it: usize| Arc::from(format!("router-{it}"));
         let requester = |it| Requester::new("plain".into(), name(it));
-        let ledger = Ledger::new(setup.settings, Millis(1_000));
+        let ledger = Issuer::new(setup.settings, Millis(1_000));
         let mut world = Self {
             random: ChaCha8Rng::seed_from_u64(7),
             requesters: (0..setup.routers).map(requester).collect(),
@@ -174,7 +174,7 @@
     fn step(&mut self, at: u64) {
         let now = Millis(at);
         if self.setup.owner_lost == Some(at) {
-            self.owners[0] = Ledger::new(self.setup.settings, now);
+            self.owners[0] = Issuer::new(self.setup.settings, now);
         }
         self.arrive(at);
         self.serve(at);
@@ -194,10 +194,10 @@
             self.requester(router, now);
         }
         if at.is_multiple_of(400) {
-            let look = self.owners[0].look(now);
+            let look = self.owners[0].snapshot(now);
             let short =
                 Short { pool: "plain".into(), owner: "o".into(), rate: look.rate, lasts_ms: 1_500 };
-            self.requesters.iter_mut().for_each(|it| it.shorten(&short));
+            self.requesters.iter_mut().for_each(|it| it.receive_saturation(&short));
         }
     }
 
@@ -232,7 +232,7 @@
                 avoid: Vec::new(),
             };
             self.requests.insert(number, (router, request));
-            self.requesters[router].ask(claim, Millis(at));
+            self.requesters[router].request(claim, Millis(at));
         }
     }
 
@@ -304,14 +304,14 @@
 
     fn hear(&mut self, owner: usize, claims: &Claims, now: Millis) {
         let router: usize = claims.router[7..].parse().expect("a number");
-        for verdict in self.owners[owner].hear(claims, now) {
+        for verdict in self.owners[owner].receive(claims, now) {
             self.send(now.0, || Message::Verdict(router, verdict.clone()));
         }
     }
 
     fn decide(&mut self, owner: usize, now: Millis) {
-        self.owners[owner].list(&[("up".into(), SLOTS as u64)]);
-        for line in self.owners[owner].turn(now) {
+        self.owners[owner].set_upstreams(&[("up".into(), SLOTS as u64)]);
+        for line in self.owners[owner].decide(now) {
             let router: usize = line.router[7..].parse().expect("a number");
             let verdict = Verdict { number: line.number, turn: line.turn.clone() };
             match line.turn {
@@ -333,7 +333,7 @@
 
     fn requester(&mut self, router: usize, now: Millis) {
         let routers = self.setup.routers;
-        for (number, answer) in self.requesters[router].give_up(routers, now) {
+        for (number, answer) in self.requesters[router].expire(routers, now) {
             self.act(router, number, &answer, now);
         }
         let apart = self.setup.two_owners.is_some_and(|(from, to)| (from..to).contains(&now.0));
@@ -341,23 +341,23 @@
         if self.requesters[router].is_idle() {
             return;
         }
-        for claims in self.requesters[router].tell(now) {
+        for claims in self.requesters[router].take_claims(now) {
             self.send(now.0, || Message::Claims(owner, claims.clone()));
         }
     }
 
     fn take(&mut self, router: usize, verdict: &Verdict, now: Millis) {
-        if let Some(answer) = self.requesters[router].take(verdict, now) {
+        if let Some(answer) = self.requesters[router].receive(verdict, now) {
             self.act(router, verdict.number, &answer, now);
         }
     }
 
-    fn act(&mut self, router: usize, number: u64, answer: &Answer, now: Millis) {
+    fn act(&mut self, router: usize, number: u64, answer: &Resolution, now: Millis) {
         match answer {
-            Answer::Granted(_) | Answer::Unanswered => {
+            Resolution::Granted(_) | Resolution::Unanswered => {
                 self.arriving.entry(now.0 + 1).or_default().push(number);
             }
-            Answer::Refused(after) => {
+            Resolution::Refused(after) => {
                 let (_, request) = &self.requests[&number];
                 let request = &request.clone();
                 if now.0 >= 2_000 {
--- a/components/router/src/places.rs
+++ b/components/router/src/places.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use clock::Millis;
-use places::{Answer, Ledger, Line, Look, Requester};
+use permits::{Resolution, Issuer, Decision, Snapshot, Requester};
 use routing::Event;
 use spdlog::{debug, info};
 use tokio::sync::{Notify, oneshot};
@@ -41,7 +41,7 @@
 /// A pool that this router owns.
 #[derive(Debug)]
 struct Owned {
-    ledger: Ledger,
+    ledger: Issuer,
     /// Where the routers that asked are told.
     routers: HashMap<Arc<str>, SocketAddr>,
     told: Option<Millis>,
@@ -53,7 +53,7 @@
 impl Owned {
     /// What all are to be told of the pool, if that is due.
     fn short(&mut self, core: &Core, pool: &Arc<str>, now: Millis) -> Option<Short> {
-        let is_over = self.ledger.is_calm(now);
+        let is_over = self.ledger.has_recovered(now);
         let ends = is_over && self.over.is_none();
         if is_over != self.over.is_some() {
             self.over = is_over.then_some(now);
@@ -68,7 +68,7 @@
         Some(Short {
             pool: pool.clone(),
             owner: core.settings.name.clone(),
-            rate: self.ledger.look(now).rate,
+            rate: self.ledger.snapshot(now).rate,
             lasts_ms: u32::try_from(lasts.0).unwrap_or(u32::MAX),
         })
     }
@@ -80,17 +80,17 @@
     requesters: RefCell<BTreeMap<Arc<str>, Requester>>,
     owned: RefCell<BTreeMap<Arc<str>, Owned>>,
     owners: RefCell<BTreeMap<Arc<str>, Owner>>,
-    waiting: RefCell<HashMap<u64, oneshot::Sender<Answer>>>,
+    waiting: RefCell<HashMap<u64, oneshot::Sender<Resolution>>>,
     wake: Notify,
 }
 
 impl Places {
     /// Asks for a place; the answer comes once the owner, or this router in its place, has
     /// decided.
-    pub(crate) async fn ask(&self, core: &Core, pool: &Arc<str>, claim: Claim) -> Option<Answer> {
+    pub(crate) async fn ask(&self, core: &Core, pool: &Arc<str>, claim: Claim) -> Option<Resolution> {
         let (sender, answer) = oneshot::channel();
         self.waiting.borrow_mut().insert(claim.number, sender);
-        self.requester(core, pool, |requester| requester.ask(claim, core.clock.now()));
+        self.requester(core, pool, |requester| requester.request(claim, core.clock.now()));
         self.wake.notify_one();
         answer.await.ok()
     }
@@ -139,7 +139,7 @@
             return;
         }
         if is_owner {
-            self.requester(core, &short.pool, |requester| requester.shorten(short));
+            self.requester(core, &short.pool, |requester| requester.receive_saturation(short));
         }
         let lasts = Millis(u64::from(short.lasts_ms)).min(LASTS);
         core.apply(Event::Short { pool: short.pool.clone(), lasts });
@@ -149,9 +149,9 @@
     pub(crate) fn status(&self, now: Millis) -> Vec<serde_json::Value> {
         let owned = self.owned.borrow();
         let one = |(pool, it): (&Arc<str>, &Owned)| {
-            let Look { limit, out, waiting, rate } = it.ledger.look(now);
+            let Snapshot { limit, in_flight, waiting, rate } = it.ledger.snapshot(now);
             serde_json::json!({
-                "pool": &**pool, "limit": limit, "in_flight": out, "waiting": waiting,
+                "pool": &**pool, "limit": limit, "in_flight": in_flight, "waiting": waiting,
                 "answers_per_1000_s": rate,
             })
         };
@@ -171,14 +171,14 @@
 
     fn take_one(&self, core: &Core, pool: &Arc<str>, verdict: &Verdict) {
         let answer =
-            self.requester(core, pool, |requester| requester.take(verdict, core.clock.now()));
+            self.requester(core, pool, |requester| requester.receive(verdict, core.clock.now()));
         if let Some(answer) = answer {
             self.answer(verdict.number, answer);
         }
     }
 
     /// Hands an answer to its request; one that has ended meanwhile has released its ask.
-    fn answer(&self, number: u64, answer: Answer) {
+    fn answer(&self, number: u64, answer: Resolution) {
         if let Some(waiting) = self.waiting.borrow_mut().remove(&number) {
             let _ = waiting.send(answer);
         }
@@ -197,7 +197,7 @@
             self.answer(number, answer);
         }
         let due: Vec<Claims> =
-            self.requesters.borrow_mut().values_mut().flat_map(|it| it.tell(now)).collect();
+            self.requesters.borrow_mut().values_mut().flat_map(|it| it.take_claims(now)).collect();
         for claims in due {
             self.tell_owner(core, claims);
         }
@@ -207,13 +207,13 @@
         }
     }
 
-    fn give_up(&self, core: &Core, now: Millis) -> Vec<(u64, Answer)> {
+    fn give_up(&self, core: &Core, now: Millis) -> Vec<(u64, Resolution)> {
         let mut requesters = self.requesters.borrow_mut();
         if requesters.values().all(Requester::is_idle) {
             return Vec::new();
         }
         let routers = core.peers().map_or(1, |it| it.count() + 1);
-        requesters.values_mut().flat_map(|it| it.give_up(routers, now)).collect()
+        requesters.values_mut().flat_map(|it| it.expire(routers, now)).collect()
     }
 
     fn tell_owner(&self, core: &Core, claims: Claims) {
@@ -231,7 +231,7 @@
         }
         let routers = core.fleet().routers(now);
         let own = &core.settings.name;
-        let first = places::owner(pool, &routers).filter(|it| it.name != *own);
+        let first = permits::owner(pool, &routers).filter(|it| it.name != *own);
         let owner = Owner {
             name: first.map_or_else(|| own.clone(), |it| it.name.clone()),
             address: first.and_then(|it| it.hints),
@@ -256,16 +256,16 @@
             let owned = owned.entry(claims.pool.clone()).or_insert_with(|| {
                 info!("pool is short of places", kv: { pool = &*claims.pool });
                 core.metrics.belief("pool_short");
-                let ledger = Ledger::new(core.settings.routing.places, now);
+                let ledger = Issuer::new(core.settings.routing.places, now);
                 Owned { ledger, routers: HashMap::new(), told: None, listed: None, over: None }
             });
             if let Some(from) = from {
                 owned.routers.insert(claims.router.clone(), from);
             }
             if claims.asks.is_empty() && is_start(claims) {
-                owned.ledger.runs_short(now);
+                owned.ledger.mark_saturated(now);
             }
-            owned.ledger.hear(claims, now)
+            owned.ledger.receive(claims, now)
         };
         self.tell_router(core, &claims.pool, &claims.router, &told);
     }
@@ -276,9 +276,9 @@
         let Some(owned) = ledgers.get_mut(pool) else { return };
         if owned.listed.is_none_or(|it| it.until(now) >= KNOWN) {
             owned.listed = Some(now);
-            owned.ledger.list(&core.places_of(pool));
+            owned.ledger.set_upstreams(&core.places_of(pool));
         }
-        let lines = owned.ledger.turn(now);
+        let lines = owned.ledger.decide(now);
         let short = owned.short(core, pool, now);
         let is_done = owned.over.is_some_and(|it| it.until(now) >= LASTS);
         drop(ledgers);
@@ -333,7 +333,7 @@
     claims.held.is_empty() && claims.releases.is_empty()
 }
 
-fn log(core: &Core, pool: &Arc<str>, line: &Line) {
+fn log(core: &Core, pool: &Arc<str>, line: &Decision) {
     let (router, workspace, waited_ms) = (&*line.router, &*line.workspace, line.waited.0);
     match &line.turn {
         Turn::Granted(upstream) => {
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use clock::Millis;
 use errors::Answer;
-use places::Answer as Permission;
+use permits::Resolution;
 use routing::{Ask, Attempt, Decision, Effect, Event, Owner};
 use telemetry::Span;
 use tokio::time::{Instant, timeout_at};
@@ -213,9 +213,9 @@
         let (id, number) = (self.id, claim.number);
         let core = self.core.clone();
         let event = match core.places.ask(&core, pool, claim).await {
-            Some(Permission::Granted(upstream)) => Event::Granted { id, number, upstream },
-            Some(Permission::Refused(after_ms)) => Event::Denied { id, number, after_ms },
-            Some(Permission::Unanswered) | None => Event::Unanswered { id, number },
+            Some(Resolution::Granted(upstream)) => Event::Granted { id, number, upstream },
+            Some(Resolution::Refused(after_ms)) => Event::Denied { id, number, after_ms },
+            Some(Resolution::Unanswered) | None => Event::Unanswered { id, number },
         };
         self.apply(event);
     }
--- a/components/router/src/report.rs
+++ b/components/router/src/report.rs
@@ -94,7 +94,7 @@
 fn standing(decision: &Decision) -> String {
     let one = |it: Standing| {
         let age = or_none(it.age_ms);
-        let (rank, times) = (it.rank.name(), it.rank.times());
+        let (rank, times) = (it.rank.name(), it.rank.excess_ratio());
         let Standing { share, demand, served, .. } = it;
         format!(
             "{rank},times={times:.1},share={share:.1},demand={demand:.1},served={served:.1},age={age}"
--- a/components/routing/src/admission.rs
+++ b/components/routing/src/admission.rs
@@ -56,7 +56,7 @@
             return usual;
         }
         let base_ms = flow.base_ms(priority);
-        Forecast { wait_ms: upstream.pace.beyond_ms(base_ms, usual.wait_ms, outlook.now), ..usual }
+        Forecast { wait_ms: upstream.pace.expected_wait_ms(base_ms, usual.wait_ms, outlook.now), ..usual }
     }
 
     /// The same for a request that has come.
@@ -111,7 +111,7 @@
             return None;
         }
         self.note_refused(id, standing, late, now);
-        let times = standing.map_or(1.0, |it| it.rank.times());
+        let times = standing.map_or(1.0, |it| it.rank.excess_ratio());
         let flow = self.flows.get_mut(&pool)?;
         Some(flow.book((wait - limit).max(0.0), times, now))
     }
--- a/components/routing/src/admission/shares.rs
+++ b/components/routing/src/admission/shares.rs
@@ -47,7 +47,7 @@
     /// The part of the limit on waits that a workspace has: all of it unless others lack room
     /// that are not over their shares.
     pub(super) fn part(&self, pool: &str, standing: Option<Standing>, now: Millis) -> f64 {
-        if !self.pools.get(pool).is_some_and(|it| it.is_lacking(now)) {
+        if !self.pools.get(pool).is_some_and(|it| it.is_starving(now)) {
             return 1.0;
         }
         match standing.map(|it| it.rank) {
@@ -64,7 +64,7 @@
         priority: i32,
         now: Millis,
     ) -> Option<Standing> {
-        let pool = self.pools.get_mut(pool).filter(|it| it.is_short(now))?;
+        let pool = self.pools.get_mut(pool).filter(|it| it.is_saturated(now))?;
         let weights = &self.weights;
         let weight = |it: u64| weights.get(&it).copied().unwrap_or(1.0);
         Some(pool.standing(hash(workspace), priority, weight, now))
@@ -79,7 +79,7 @@
         }
         let Some(request) = self.requests.get(&id) else { return };
         let pool = self.shares.pool(&request.pool);
-        pool.ask(hash(&request.ask.workspace), request.priority, request.ask.content, now);
+        pool.record_request(hash(&request.ask.workspace), request.priority, request.ask.content, now);
     }
 
     /// Notes that a request is sent for the first time.
@@ -89,7 +89,7 @@
         }
         let Some(request) = self.requests.get(&id) else { return };
         let pool = self.shares.pool(&request.pool);
-        pool.serve(hash(&request.ask.workspace), request.priority, now);
+        pool.record_sent(hash(&request.ask.workspace), request.priority, now);
     }
 
     /// Notes that a request is turned away, how its workspace stands, and whether it would be
@@ -107,20 +107,20 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.standing = standing;
         let pool = self.shares.pool(&request.pool);
-        if late && standing.is_some_and(|it| it.rank.times() <= 1.0) {
-            pool.lack(now);
+        if late && standing.is_some_and(|it| it.rank.excess_ratio() <= 1.0) {
+            pool.mark_starving(now);
         }
         if late {
-            pool.refuse(request.ask.content, now);
+            pool.record_refusal(request.ask.content, now);
         } else {
-            pool.give_way(request.ask.content, now);
+            pool.record_deferral(request.ask.content, now);
         }
     }
 
     /// Takes the part of the limit that the least wait in a pool is.
     pub(crate) fn watch_room(&mut self, pool: &Arc<str>, part: f64, now: Millis) {
         if self.shares_out() && part > NEAR {
-            self.shares.pool(pool).run_short(now);
+            self.shares.pool(pool).mark_saturated(now);
         }
     }
 
@@ -140,9 +140,9 @@
         let Some(request) = self.requests.get(&id).filter(|it| it.tries.is_empty()) else {
             return false;
         };
-        let lacking = self.shares.pools.get(&request.pool).is_some_and(|it| it.is_lacking(now));
+        let lacking = self.shares.pools.get(&request.pool).is_some_and(|it| it.is_starving(now));
         let times = self.settings.gives_back;
-        let part = standing.filter(|_| lacking).map_or(1.0, |it| it.part(times));
+        let part = standing.filter(|_| lacking).map_or(1.0, |it| it.admitted_ratio(times));
         part < 1.0 && !self.random.random_bool(part)
     }
 
@@ -164,7 +164,7 @@
     /// Takes what another router tells of a pool that is short.
     pub(crate) fn hear_demands(&mut self, demands: Demands, now: Millis) -> Vec<Effect> {
         if self.shares_out() {
-            self.shares.pool(&demands.pool).hear(&demands.router, demands.word, now);
+            self.shares.pool(&demands.pool).receive(&demands.router, demands.word, now);
         }
         Vec::new()
     }
@@ -172,7 +172,7 @@
     /// What is asked of the pools that are short, for the others; `router` is this one's name.
     pub fn demands(&self, router: &Arc<str>, now: Millis) -> Vec<Demands> {
         let told = |(pool, shares): (&Arc<str>, &Pool)| {
-            let word = shares.tell(now)?;
+            let word = shares.summarize(now)?;
             Some(Demands { router: router.clone(), pool: pool.clone(), word })
         };
         self.shares.pools.iter().filter_map(told).collect()
@@ -185,7 +185,7 @@
         let names: BTreeMap<u64, &Arc<str>> =
             workspaces.map(|it| (hash(&it.name), &it.name)).collect();
         let weight = |it: u64| self.shares.weights.get(&it).copied().unwrap_or(1.0);
-        let short = self.shares.pools.iter().filter(|(_, it)| it.is_short(now));
+        let short = self.shares.pools.iter().filter(|(_, it)| it.is_saturated(now));
         let largest = |pool: &Pool| {
             let one = |(workspace, standing): (u64, Standing)| {
                 let unnamed = || format!("{workspace:016x}").into();
--- a/components/routing/src/beliefs/pace.rs
+++ b/components/routing/src/beliefs/pace.rs
@@ -13,7 +13,7 @@
     /// Takes how long work takes an upstream at the moment, as a percentage of the usual time.
     pub(crate) fn hear_pace(&mut self, upstream: &str, percent: u32, now: Millis) {
         if let Some(upstream) = self.upstreams.get_mut(upstream) {
-            upstream.pace.tell(percent, now);
+            upstream.pace.record(percent, now);
             upstream.heard_pace = Some((percent, now));
         }
     }
@@ -22,7 +22,7 @@
     pub(crate) fn hear_paces(&mut self, paces: &[Pace], now: Millis) {
         for told in paces {
             if let Some(upstream) = self.upstreams.get_mut(&told.upstream) {
-                upstream.pace.tell(told.percent, now - Millis(told.age_ms));
+                upstream.pace.record(told.percent, now - Millis(told.age_ms));
             }
         }
     }
--- a/components/routing/src/settings.rs
+++ b/components/routing/src/settings.rs
@@ -101,7 +101,7 @@
     /// learn that one is taken back with a look at the store.
     pub evacuated_retry_after_ms: u64,
     /// What is set about the places of pools that are short of them.
-    pub places: places::Settings,
+    pub places: permits::Settings,
 }
 
 impl Default for Settings {
@@ -137,7 +137,7 @@
             stale_retry_after_ms: 3_000,
             elsewhere_retry_after_ms: 50,
             evacuated_retry_after_ms: 1_500,
-            places: places::Settings::default(),
+            places: permits::Settings::default(),
         }
     }
 }
--- a/components/routing/tests/direct/shares.rs
+++ b/components/routing/tests/direct/shares.rs
@@ -188,10 +188,10 @@
     state.apply(Event::Settings(Box::new(settings)), NOW);
     let line = |workspace: &str, asked, served| {
         let workspace = placement::digest(&[workspace.as_bytes()]);
-        shares::Line { workspace, priority: 5, asked, served }
+        shares::Demand { workspace, priority: 5, requested: asked, served }
     };
     let lines = vec![line("hot", 2_000, 1_000), line("a", 500, 200), line("b", 500, 200)];
-    let word = shares::Word { at: NOW, short: true, lacks, lines, ..Default::default() };
+    let word = shares::Summary { at: NOW, saturated: true, starving: lacks, demands: lines, ..Default::default() };
     let demands = Demands { router: "front-2".into(), pool: "engine".into(), word };
     state.apply(Event::Demands(demands), NOW);
     state
@@ -272,15 +272,15 @@
         waiting in 0..8_u64,
         told in prop::collection::vec((0..5_u64, 0..500_u32, 0..500_u32), 0..8),
     ) {
-        let line = |(workspace, asked, served): (u64, u32, u32)| shares::Line {
-            workspace, priority: 5, asked, served: served.min(asked),
+        let line = |(workspace, asked, served): (u64, u32, u32)| shares::Demand {
+            workspace, priority: 5, requested: asked, served: served.min(asked),
         };
         let lines: Vec<_> = told.into_iter().map(line).collect();
         let decide = |mechanisms| {
             let mut state = fleet(mechanisms);
             wait_at_all(&mut state, FULL);
             refused(&mut state, 100..100 + hot, "hot");
-            let word = shares::Word { at: NOW, short: true, lines: lines.clone(), ..Default::default() };
+            let word = shares::Summary { at: NOW, saturated: true, demands: lines.clone(), ..Default::default() };
             let demands = Demands { router: "front-2".into(), pool: "engine".into(), word };
             state.apply(Event::Demands(demands), LATER);
             wait_at_all(&mut state, waiting);
--- a/components/shares/src/fill.rs
+++ b/components/shares/src/fill.rs
@@ -2,7 +2,7 @@
 
 /// So many workspaces that want as much each.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Claim {
+pub struct Group {
     /// What each of them wants, in requests.
     pub demand: f64,
     /// What each of them counts.
@@ -13,8 +13,8 @@
 
 /// The level up to which each of `claims` is served where `room` is shared out: each gets what
 /// it wants, or its weight times the level if that is less. Infinite where all are served.
-pub fn level(claims: &mut [Claim], room: f64) -> f64 {
-    let want = |it: &Claim| it.demand / it.weight;
+pub fn max_min_level(claims: &mut [Group], room: f64) -> f64 {
+    let want = |it: &Group| it.demand / it.weight;
     claims.sort_by(|one, other| want(one).total_cmp(&want(other)));
     let mut weight: f64 = claims.iter().map(|it| it.weight * it.count).sum();
     let mut left = room.max(0.0);
--- a/components/shares/src/ledger.rs
+++ b/components/shares/src/ledger.rs
@@ -5,7 +5,7 @@
 use clock::Millis;
 
 use crate::count::Count;
-use crate::word::{Line, MOST_LINES, Rest, tenths};
+use crate::summary::{Demand, MAX_DEMANDS, Remainder, tenths};
 
 /// The most lines that are kept. Beyond it the smallest are dropped.
 const MOST: usize = 8_192;
@@ -30,7 +30,7 @@
 impl Ledger {
     /// Takes that a workspace asked for `content`; once for work that was refused and comes
     /// back.
-    pub(crate) fn ask(&mut self, workspace: u64, priority: i32, content: u64, now: Millis) {
+    pub(crate) fn record_request(&mut self, workspace: u64, priority: i32, content: u64, now: Millis) {
         self.forget(now);
         if self.refused.remove(&content).is_some() {
             return;
@@ -39,12 +39,12 @@
     }
 
     /// Takes that a request of a workspace was sent.
-    pub(crate) fn serve(&mut self, workspace: u64, priority: i32, now: Millis) {
+    pub(crate) fn record_sent(&mut self, workspace: u64, priority: i32, now: Millis) {
         self.line(workspace, priority, now).served += 1.0;
     }
 
     /// Takes that `content` was refused: it may come back.
-    pub(crate) fn refuse(&mut self, content: u64, now: Millis) {
+    pub(crate) fn record_refusal(&mut self, content: u64, now: Millis) {
         self.forget(now);
         self.refused.insert(content, now);
         self.order.push_back((now, content));
@@ -57,21 +57,21 @@
     }
 
     /// The largest workspaces, and the others as a sum.
-    pub(crate) fn tell(&self, now: Millis) -> (Vec<Line>, Rest) {
-        let mut workspaces: BTreeMap<u64, (f64, Vec<Line>, Count)> = BTreeMap::new();
+    pub(crate) fn summarize(&self, now: Millis) -> (Vec<Demand>, Remainder) {
+        let mut workspaces: BTreeMap<u64, (f64, Vec<Demand>, Count)> = BTreeMap::new();
         for (workspace, priority, count) in self.lines(now) {
             let (demand, lines, all) = workspaces.entry(workspace).or_default();
             *demand += count.demand();
             all.asked += count.demand();
             all.served += count.served;
             let (asked, served) = (tenths(count.demand()), tenths(count.served));
-            lines.push(Line { workspace, priority, asked, served });
+            lines.push(Demand { workspace, priority, requested: asked, served });
         }
         let mut workspaces: Vec<_> = workspaces.into_values().collect();
         workspaces.sort_by(|one, other| other.0.total_cmp(&one.0));
         let (mut told, mut rest, mut more) = (Vec::new(), Count::default(), 0);
         for (_, lines, all) in workspaces {
-            if more == 0 && told.len() + lines.len() <= MOST_LINES {
+            if more == 0 && told.len() + lines.len() <= MAX_DEMANDS {
                 told.extend(lines);
                 continue;
             }
@@ -80,7 +80,7 @@
             rest.served += all.served;
         }
         let (asked, served) = (tenths(rest.asked), tenths(rest.served));
-        (told, Rest { workspaces: more, asked, served })
+        (told, Remainder { workspaces: more, requested: asked, served })
     }
 
     /// The line of a workspace, as of `now`.
--- a/components/shares/src/lib.rs
+++ b/components/shares/src/lib.rs
@@ -1,8 +1,8 @@
 //! Fair shares of what a pool of upstreams serves, by workspace.
 //!
 //! A [`Pool`] is told what is asked of the pool and what is sent to it, by this router exactly
-//! and by other routers as far as one [`Word`] of each holds it. From that it works out
-//! max-min shares of what the pool serves ([`level`]), and says of a workspace whether it is
+//! and by other routers as far as one [`Summary`] of each holds it. From that it works out
+//! max-min shares of what the pool serves ([`max_min_level`]), and says of a workspace whether it is
 //! below its share, at it or over it ([`Standing`]). It decides nothing: who is refused, and
 //! when, is the reducer's matter.
 //!
@@ -15,9 +15,9 @@
 mod pool;
 mod standing;
 mod view;
-mod word;
+mod summary;
 
-pub use fill::{Claim, level};
+pub use fill::{Group, max_min_level};
 pub use pool::Pool;
 pub use standing::{Rank, Standing};
-pub use word::{Line, MOST_LINES, Rest, Word};
+pub use summary::{Demand, MAX_DEMANDS, Remainder, Summary};
--- a/components/shares/src/pool.rs
+++ b/components/shares/src/pool.rs
@@ -8,7 +8,7 @@
 use crate::ledger::Ledger;
 use crate::standing::Standing;
 use crate::view::View;
-use crate::word::{MOST_LINES, Word};
+use crate::summary::{MAX_DEMANDS, Summary};
 
 /// For how long a pool is taken to be short after a sign of it.
 const SHORT_LASTS: Millis = Millis(2_000);
@@ -30,7 +30,7 @@
 pub struct Pool {
     own: Ledger,
     /// The latest word of each other router, and when it came.
-    words: BTreeMap<Arc<str>, (Millis, Word)>,
+    words: BTreeMap<Arc<str>, (Millis, Summary)>,
     view: Option<View>,
     /// Until when the pool is short by what this router has seen, and by what others told.
     short: Millis,
@@ -42,50 +42,50 @@
 
 impl Pool {
     /// Takes that a workspace asked for the work whose hash is `content`.
-    pub fn ask(&mut self, workspace: u64, priority: i32, content: u64, now: Millis) {
-        self.own.ask(workspace, priority, content, now);
+    pub fn record_request(&mut self, workspace: u64, priority: i32, content: u64, now: Millis) {
+        self.own.record_request(workspace, priority, content, now);
     }
 
     /// Takes that a request of a workspace was sent to the pool.
-    pub fn serve(&mut self, workspace: u64, priority: i32, now: Millis) {
-        self.own.serve(workspace, priority, now);
+    pub fn record_sent(&mut self, workspace: u64, priority: i32, now: Millis) {
+        self.own.record_sent(workspace, priority, now);
     }
 
     /// Takes that work was refused for lack of room: the pool is short, and the work may be
     /// asked for again.
-    pub fn refuse(&mut self, content: u64, now: Millis) {
-        self.own.refuse(content, now);
-        self.run_short(now);
+    pub fn record_refusal(&mut self, content: u64, now: Millis) {
+        self.own.record_refusal(content, now);
+        self.mark_saturated(now);
     }
 
     /// Takes that work was refused for the sake of others, which is no sign that the pool is
     /// short: it would keep itself short.
-    pub fn give_way(&mut self, content: u64, now: Millis) {
-        self.own.refuse(content, now);
+    pub fn record_deferral(&mut self, content: u64, now: Millis) {
+        self.own.record_refusal(content, now);
     }
 
     /// Takes a sign that the pool is short.
-    pub fn run_short(&mut self, now: Millis) {
+    pub fn mark_saturated(&mut self, now: Millis) {
         self.short = now + SHORT_LASTS;
     }
 
     /// Takes that a workspace was refused that is not over its share.
-    pub fn lack(&mut self, now: Millis) {
+    pub fn mark_starving(&mut self, now: Millis) {
         self.lacks = now + LACKS_LASTS;
     }
 
     /// Whether workspaces lack room that are not over their shares, at this router or at others.
-    pub fn is_lacking(&self, now: Millis) -> bool {
+    pub fn is_starving(&self, now: Millis) -> bool {
         now < self.lacks.max(self.told_lacks)
     }
 
     /// Whether the pool is short, by this router's own signs or by those of others.
-    pub fn is_short(&self, now: Millis) -> bool {
+    pub fn is_saturated(&self, now: Millis) -> bool {
         now < self.short.max(self.told_short)
     }
 
     /// Takes the word of another router, unless a later one has come.
-    pub fn hear(&mut self, router: &Arc<str>, mut word: Word, now: Millis) {
+    pub fn receive(&mut self, router: &Arc<str>, mut word: Summary, now: Millis) {
         self.forget(now);
         if self.words.get(router).is_some_and(|(_, known)| known.at >= word.at) {
             return;
@@ -93,13 +93,13 @@
         if self.words.len() >= MOST_ROUTERS && !self.words.contains_key(router) {
             return;
         }
-        if word.short {
+        if word.saturated {
             self.told_short = now + SHORT_LASTS;
         }
-        if word.lacks {
+        if word.starving {
             self.told_lacks = now + LACKS_LASTS;
         }
-        word.lines.truncate(MOST_LINES);
+        word.demands.truncate(MAX_DEMANDS);
         self.words.insert(router.clone(), (now, word));
     }
 
@@ -107,13 +107,13 @@
     ///
     /// What others told of a shortage is not handed on as an own sign: routers would keep each
     /// other short.
-    pub fn tell(&self, now: Millis) -> Option<Word> {
-        if !self.is_short(now) {
+    pub fn summarize(&self, now: Millis) -> Option<Summary> {
+        if !self.is_saturated(now) {
             return None;
         }
-        let (lines, rest) = self.own.tell(now);
+        let (lines, rest) = self.own.summarize(now);
         let (short, lacks) = (now < self.short, now < self.lacks);
-        Some(Word { at: now, short, lacks, lines, rest })
+        Some(Summary { at: now, saturated: short, starving: lacks, demands: lines, remainder: rest })
     }
 
     /// How a workspace stands for requests of `priority`; `weight` is what each workspace
@@ -153,7 +153,7 @@
     }
 
     fn view_now(&self, weight: impl Fn(u64) -> f64, now: Millis) -> View {
-        let counts = |it: &&(Millis, Word)| it.0.until(now) < WORD_LASTS;
+        let counts = |it: &&(Millis, Summary)| it.0.until(now) < WORD_LASTS;
         let words = self.words.values().filter(counts).map(|it| (it.0.until(now), &it.1));
         View::new(self.own.lines(now), words, weight, now)
     }
--- a/components/shares/src/standing.rs
+++ b/components/shares/src/standing.rs
@@ -47,7 +47,7 @@
     }
 
     /// How many times it is over; 1 if it isn't.
-    pub fn times(self) -> f64 {
+    pub fn excess_ratio(self) -> f64 {
         match self {
             Self::Over(times) => times.max(1.0),
             Self::Below | Self::At => 1.0,
@@ -59,7 +59,7 @@
     /// The part of its requests that it may send, where waits allow it: less than 1 only while
     /// it has been served beyond its share, that is while others lack some of theirs. It gives
     /// that back `times` times, so that the others have theirs within a burst and not after it.
-    pub fn part(&self, times: f64) -> f64 {
+    pub fn admitted_ratio(&self, times: f64) -> f64 {
         if !matches!(self.rank, Rank::Over(_)) || self.served <= self.share {
             return 1.0;
         }
--- a/components/shares/src/word.rs
+++ b/components/shares/src/summary.rs
@@ -4,44 +4,44 @@
 use serde::{Deserialize, Serialize};
 
 /// The most lines of a word, so that it fits one datagram.
-pub const MOST_LINES: usize = 32;
+pub const MAX_DEMANDS: usize = 32;
 
 /// The demand on one pool that one router sees: the largest workspaces exactly, the others as
 /// a sum.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct Summary {
     /// When it was told, by its router's clock: a later word replaces an earlier one.
     pub at: Millis,
     /// Whether the pool is short by what this router has seen itself.
-    pub short: bool,
+    pub saturated: bool,
     /// Whether this router has refused workspaces lately that are not over their shares.
-    pub lacks: bool,
+    pub starving: bool,
     /// The workspaces with the largest demand.
-    pub lines: Vec<Line>,
+    pub demands: Vec<Demand>,
     /// All others.
-    pub rest: Rest,
+    pub remainder: Remainder,
 }
 
 /// The demand of a workspace for requests of one priority, in tenths of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
+pub struct Demand {
     /// The hash of the workspace's name.
     pub workspace: u64,
     /// Lower is more urgent.
     pub priority: i32,
     /// What it asked for, repeats left out.
-    pub asked: u32,
+    pub requested: u32,
     /// What of it was sent.
     pub served: u32,
 }
 
 /// The demand of all workspaces that have no line, in tenths of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rest {
+pub struct Remainder {
     /// How many they are.
     pub workspaces: u32,
     /// What they asked for.
-    pub asked: u32,
+    pub requested: u32,
     /// What of it was sent.
     pub served: u32,
 }
--- a/components/shares/src/view.rs
+++ b/components/shares/src/view.rs
@@ -5,9 +5,9 @@
 use clock::Millis;
 
 use crate::count::{Count, kept};
-use crate::fill::{Claim, level};
+use crate::fill::{Group, max_min_level};
 use crate::standing::{Rank, Standing};
-use crate::word::{Word, requests};
+use crate::summary::{Summary, requests};
 
 /// By how much the parts may differ that are served of a workspace and of all others before
 /// the workspace is over its share: within it callers come by chance, and views of routers differ.
@@ -59,7 +59,7 @@
     /// The view at `now` of the own lines and of the words of others, each with its age.
     pub(crate) fn new<'a>(
         own: impl Iterator<Item = (u64, i32, Count)>,
-        words: impl Iterator<Item = (Millis, &'a Word)> + Clone,
+        words: impl Iterator<Item = (Millis, &'a Summary)> + Clone,
         weight: impl Fn(u64) -> f64,
         now: Millis,
     ) -> Self {
@@ -73,8 +73,8 @@
             add(workspace, priority, count.demand(), count.served);
         }
         for (age, word) in words.clone() {
-            for line in &word.lines {
-                let (asked, served) = (requests(line.asked), requests(line.served));
+            for line in &word.demands {
+                let (asked, served) = (requests(line.requested), requests(line.served));
                 add(line.workspace, line.priority, asked * kept(age), served * kept(age));
             }
         }
@@ -91,18 +91,18 @@
         now: Millis,
     ) -> Self {
         let (count, asked, served) = unknown;
-        let claim = |(name, it): (&u64, &Held)| Claim {
+        let claim = |(name, it): (&u64, &Held)| Group {
             demand: it.demand(),
             weight: weight(*name),
             count: 1.0,
         };
-        let mut claims: Vec<Claim> = held.iter().map(claim).collect();
+        let mut claims: Vec<Group> = held.iter().map(claim).collect();
         if count > 0.0 {
-            claims.push(Claim { demand: asked / count, weight: 1.0, count });
+            claims.push(Group { demand: asked / count, weight: 1.0, count });
         }
         let demand: f64 = claims.iter().map(|it| it.demand * it.count).sum();
         let room: f64 = held.values().map(|it| it.served).sum::<f64>() + served;
-        let level = level(&mut claims, room);
+        let level = max_min_level(&mut claims, room);
         let shares = room.min(demand);
         Self { at: now, held, level, demand, shares, age }
     }
@@ -137,23 +137,23 @@
 /// are that nobody named, and what they want and were sent in all.
 fn spread<'a>(
     held: &mut BTreeMap<u64, Held>,
-    words: impl Iterator<Item = (Millis, &'a Word)>,
+    words: impl Iterator<Item = (Millis, &'a Summary)>,
 ) -> (f64, f64, f64) {
     let known = count(held.len());
     let mut each = (0.0, 0.0);
     let mut unknown = (0.0_f64, 0.0, 0.0);
     for (age, word) in words {
-        let mut named: Vec<u64> = word.lines.iter().map(|it| it.workspace).collect();
+        let mut named: Vec<u64> = word.demands.iter().map(|it| it.workspace).collect();
         named.sort_unstable();
         named.dedup();
         let others = known - count(named.len());
-        let workspaces = f64::from(word.rest.workspaces);
+        let workspaces = f64::from(word.remainder.workspaces);
         let among = workspaces.max(others);
         if among <= 0.0 {
             continue;
         }
-        let asked = requests(word.rest.asked) * kept(age) / among;
-        let served = requests(word.rest.served) * kept(age) / among;
+        let asked = requests(word.remainder.requested) * kept(age) / among;
+        let served = requests(word.remainder.served) * kept(age) / among;
         each.0 += asked;
         each.1 += served;
         for name in named {
--- a/components/shares/tests/pool.rs
+++ b/components/shares/tests/pool.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use clock::Millis;
-use shares::{Line, MOST_LINES, Pool, Rank, Rest, Standing, Word};
+use shares::{Demand, MAX_DEMANDS, Pool, Rank, Remainder, Standing, Summary};
 
 const NOW: Millis = Millis(1_000_000);
 
@@ -18,9 +18,9 @@
 fn ask(pool: &mut Pool, workspace: u64, priority: i32, count: u64, served: u64) {
     for place in 0..count {
         let content = workspace * 10_000 + u64::from(priority.unsigned_abs()) * 1_000 + place;
-        pool.ask(workspace, priority, content, NOW);
+        pool.record_request(workspace, priority, content, NOW);
         if place < served {
-            pool.serve(workspace, priority, NOW);
+            pool.record_sent(workspace, priority, NOW);
         }
     }
 }
@@ -33,10 +33,10 @@
     standing(pool, workspace, URGENT).rank.name()
 }
 
-fn word(at: u64, workspace: u64, asked: u32, served: u32) -> Word {
+fn word(at: u64, workspace: u64, asked: u32, served: u32) -> Summary {
     let (asked, served) = (10 * asked, 10 * served);
-    let line = Line { workspace, priority: URGENT, asked, served };
-    Word { at: Millis(at), short: true, lacks: true, lines: vec![line], rest: Rest::default() }
+    let line = Demand { workspace, priority: URGENT, requested: asked, served };
+    Summary { at: Millis(at), saturated: true, starving: true, demands: vec![line], remainder: Remainder::default() }
 }
 
 fn other() -> Arc<str> {
@@ -90,7 +90,7 @@
     for workspace in 2..12 {
         ask(&mut pool, workspace, URGENT, 10, 6);
     }
-    let times = |pool: &mut Pool, priority| standing(pool, HOT, priority).rank.times();
+    let times = |pool: &mut Pool, priority| standing(pool, HOT, priority).rank.excess_ratio();
     assert!((times(&mut pool, URGENT) - 1.0).abs() < f64::EPSILON);
     assert!(times(&mut pool, LESS_URGENT) > 4.0);
 }
@@ -101,7 +101,7 @@
     for _ in 0..6 {
         ask(&mut pool, HOT, URGENT, 20, 0);
         for place in 0..20 {
-            pool.refuse(HOT * 10_000 + 5_000 + place, NOW);
+            pool.record_refusal(HOT * 10_000 + 5_000 + place, NOW);
         }
     }
     assert!((standing(&mut pool, HOT, URGENT).demand - 20.0).abs() < 1e-9);
@@ -115,7 +115,7 @@
     }
     assert_eq!(rank(&mut pool, HOT), "at");
     let mut pool = pool.clone();
-    pool.hear(&other(), word(1, HOT, 70, 35), NOW + Millis(100));
+    pool.receive(&other(), word(1, HOT, 70, 35), NOW + Millis(100));
     let hot = pool.standing(HOT, URGENT, |_| 1.0, NOW + Millis(100));
     assert!(matches!(hot.rank, Rank::Over(_)), "{hot:?}");
     assert_eq!(hot.age_ms, Some(0));
@@ -124,11 +124,11 @@
 #[test]
 fn words_that_come_twice_or_late_change_nothing() {
     let mut pool = Pool::default();
-    pool.hear(&other(), word(200, HOT, 30, 10), NOW);
-    pool.hear(&other(), word(200, HOT, 30, 10), NOW);
-    pool.hear(&other(), word(100, HOT, 90, 10), NOW);
+    pool.receive(&other(), word(200, HOT, 30, 10), NOW);
+    pool.receive(&other(), word(200, HOT, 30, 10), NOW);
+    pool.receive(&other(), word(100, HOT, 90, 10), NOW);
     assert!((standing(&mut pool, HOT, URGENT).demand - 30.0).abs() < 1e-9);
-    pool.hear(&other(), word(300, HOT, 40, 10), NOW);
+    pool.receive(&other(), word(300, HOT, 40, 10), NOW);
     let later = NOW + Millis(100);
     let demand = pool.standing(HOT, URGENT, |_| 1.0, later).demand;
     assert!((38.0..40.0).contains(&demand), "{demand}");
@@ -137,7 +137,7 @@
 #[test]
 fn a_router_that_says_nothing_more_is_forgotten() {
     let mut pool = Pool::default();
-    pool.hear(&other(), word(1, HOT, 30, 10), NOW);
+    pool.receive(&other(), word(1, HOT, 30, 10), NOW);
     let later = NOW + Millis(2_500);
     assert_eq!(
         pool.standing(HOT, URGENT, |_| 1.0, later),
@@ -157,18 +157,18 @@
 fn nothing_is_told_in_calm() {
     let mut pool = Pool::default();
     ask(&mut pool, HOT, URGENT, 40, 40);
-    assert_eq!(pool.tell(NOW), None);
-    pool.refuse(1, NOW);
-    assert!(pool.tell(NOW).is_some_and(|it| it.short));
-    assert_eq!(pool.tell(NOW + Millis(2_500)), None);
+    assert_eq!(pool.summarize(NOW), None);
+    pool.record_refusal(1, NOW);
+    assert!(pool.summarize(NOW).is_some_and(|it| it.saturated));
+    assert_eq!(pool.summarize(NOW + Millis(2_500)), None);
 }
 
 #[test]
 fn work_that_gives_way_is_no_sign_that_a_pool_is_short() {
     let mut pool = Pool::default();
-    pool.give_way(1, NOW);
-    assert!(!pool.is_short(NOW));
-    pool.ask(HOT, URGENT, 1, NOW);
+    pool.record_deferral(1, NOW);
+    assert!(!pool.is_saturated(NOW));
+    pool.record_request(HOT, URGENT, 1, NOW);
     assert!(standing(&mut pool, HOT, URGENT).demand < 1.0);
 }
 
@@ -176,12 +176,12 @@
 fn routers_do_not_keep_each_other_short() {
     let mut pool = Pool::default();
     ask(&mut pool, HOT, URGENT, 40, 40);
-    pool.hear(&other(), word(1, HOT, 30, 10), NOW);
-    let told = pool.tell(NOW).expect("others need its demand");
-    assert!(!told.short);
+    pool.receive(&other(), word(1, HOT, 30, 10), NOW);
+    let told = pool.summarize(NOW).expect("others need its demand");
+    assert!(!told.saturated);
     let mut third = Pool::default();
-    third.hear(&other(), told, NOW);
-    assert!(!third.is_short(NOW));
+    third.receive(&other(), told, NOW);
+    assert!(!third.is_saturated(NOW));
 }
 
 #[test]
@@ -191,11 +191,11 @@
     for workspace in 2..=1_800 {
         ask(&mut pool, workspace, URGENT, 1, 1);
     }
-    pool.run_short(NOW);
-    let told = pool.tell(NOW).expect("it is short");
-    assert_eq!(told.lines.len(), MOST_LINES);
-    assert_eq!(told.lines[0], Line { workspace: HOT, priority: URGENT, asked: 400, served: 200 });
-    assert_eq!(told.rest, Rest { workspaces: 1_768, asked: 17_680, served: 17_680 });
+    pool.mark_saturated(NOW);
+    let told = pool.summarize(NOW).expect("it is short");
+    assert_eq!(told.demands.len(), MAX_DEMANDS);
+    assert_eq!(told.demands[0], Demand { workspace: HOT, priority: URGENT, requested: 400, served: 200 });
+    assert_eq!(told.remainder, Remainder { workspaces: 1_768, requested: 17_680, served: 17_680 });
 }
 
 #[test]
@@ -203,12 +203,12 @@
     let mut pool = Pool::default();
     for workspace in 1..=30_000 {
         ask(&mut pool, workspace, URGENT, 1, 1);
-        pool.refuse(workspace, NOW);
+        pool.record_refusal(workspace, NOW);
     }
     ask(&mut pool, HOT, URGENT, 40, 20);
-    pool.run_short(NOW);
-    let told = pool.tell(NOW).expect("it is short");
-    assert!(told.rest.workspaces < 10_000, "{:?}", told.rest);
+    pool.mark_saturated(NOW);
+    let told = pool.summarize(NOW).expect("it is short");
+    assert!(told.remainder.workspaces < 10_000, "{:?}", told.remainder);
     assert!(standing(&mut pool, HOT, URGENT).demand >= 40.0);
 }
 
@@ -232,8 +232,8 @@
     }
     // 150 are served; the others want 100 of them, so that its share is 50 of the 60 it had.
     let hot = standing(&mut pool, HOT, URGENT);
-    assert!((hot.part(1.5) - 0.75).abs() < 1e-9, "{hot:?}");
-    assert!((standing(&mut pool, CALM, URGENT).part(1.5) - 1.0).abs() < 1e-9);
+    assert!((hot.admitted_ratio(1.5) - 0.75).abs() < 1e-9, "{hot:?}");
+    assert!((standing(&mut pool, CALM, URGENT).admitted_ratio(1.5) - 1.0).abs() < 1e-9);
 }
 
 #[test]
@@ -245,16 +245,16 @@
     }
     let hot = standing(&mut pool, HOT, URGENT);
     assert!(matches!(hot.rank, Rank::Over(_)), "{hot:?}");
-    assert!((hot.part(1.5) - 1.0).abs() < 1e-9, "{hot:?}");
+    assert!((hot.admitted_ratio(1.5) - 1.0).abs() < 1e-9, "{hot:?}");
 }
 
 #[test]
 fn others_lack_room_for_a_while_after_one_was_refused_here_or_elsewhere() {
     let mut pool = Pool::default();
-    pool.hear(&other(), word(1, HOT, 30, 10), NOW);
-    assert!(pool.is_lacking(NOW + Millis(700)));
-    assert!(!pool.is_lacking(NOW + Millis(900)));
-    assert!(pool.tell(NOW).is_some_and(|it| !it.lacks), "what others told is not handed on");
-    pool.lack(NOW);
-    assert!(pool.tell(NOW).is_some_and(|it| it.lacks));
+    pool.receive(&other(), word(1, HOT, 30, 10), NOW);
+    assert!(pool.is_starving(NOW + Millis(700)));
+    assert!(!pool.is_starving(NOW + Millis(900)));
+    assert!(pool.summarize(NOW).is_some_and(|it| !it.starving), "what others told is not handed on");
+    pool.mark_starving(NOW);
+    assert!(pool.summarize(NOW).is_some_and(|it| it.starving));
 }
--- a/components/shares/tests/views.rs
+++ b/components/shares/tests/views.rs
@@ -8,7 +8,7 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use shares::{MOST_LINES, Pool, Word};
+use shares::{MAX_DEMANDS, Pool, Summary};
 
 const SEED: u64 = 20_261_203;
 const START: Millis = Millis(1_000_000);
@@ -56,7 +56,7 @@
     let mut random = ChaCha8Rng::seed_from_u64(SEED);
     let mut routers = vec![Pool::default(); way.routers];
     let mut truth = Pool::default();
-    let mut on_the_way: Vec<(Millis, usize, Word)> = Vec::new();
+    let mut on_the_way: Vec<(Millis, usize, Summary)> = Vec::new();
     let (mut content, mut words) = (0, 0);
     let places: Vec<usize> = (0..way.routers).collect();
     for step in 0..STEPS {
@@ -69,18 +69,18 @@
                 content += 1;
                 let chosen = *places.choose(&mut random).expect("a router");
                 let router = load.only.filter(|_| *workspace == HOT).unwrap_or(chosen);
-                routers[router].ask(*workspace, *priority, content, now);
-                truth.ask(*workspace, *priority, content, now);
+                routers[router].record_request(*workspace, *priority, content, now);
+                truth.record_request(*workspace, *priority, content, now);
                 if random.random_bool(load.served) {
-                    routers[router].serve(*workspace, *priority, now);
-                    truth.serve(*workspace, *priority, now);
+                    routers[router].record_sent(*workspace, *priority, now);
+                    truth.record_sent(*workspace, *priority, now);
                 }
             }
         }
         on_the_way.retain(|(at, from, word)| {
             let here = *at <= now;
             for to in (0..way.routers.min(LOOKED_AT)).filter(|it| here && it != from) {
-                routers[to].hear(&Arc::from(format!("front-{from}")), word.clone(), now);
+                routers[to].receive(&Arc::from(format!("front-{from}")), word.clone(), now);
             }
             !here
         });
@@ -88,9 +88,9 @@
             if !(step + u64::try_from(from).expect("few")).is_multiple_of(TELL_EVERY) {
                 continue;
             }
-            routers[from].run_short(now);
+            routers[from].mark_saturated(now);
             words += 1;
-            let Some(word) = routers[from].tell(now) else { continue };
+            let Some(word) = routers[from].summarize(now) else { continue };
             if !way.lossy || words % 3 != 0 {
                 on_the_way.push((now + Millis(way.delay), from, word));
             }
@@ -128,9 +128,9 @@
     for view in &mut seen.views {
         let hot = view.standing(HOT, LESS_URGENT, |_| 1.0, now).rank;
         let over =
-            |name: &&u64| view.standing(**name, LESS_URGENT, |_| 1.0, now).rank.times() > 1.0;
+            |name: &&u64| view.standing(**name, LESS_URGENT, |_| 1.0, now).rank.excess_ratio() > 1.0;
         others = others.max(names.iter().filter(over).count());
-        let _ = write!(row, "{} {:.1}; ", hot.name(), hot.times());
+        let _ = write!(row, "{} {:.1}; ", hot.name(), hot.excess_ratio());
     }
     format!("{row}others over: {others}, error {:.3}\n", error(seen))
 }
@@ -197,7 +197,7 @@
         for (name, delay, lossy) in WAYS {
             let way = Way { routers: 27, delay, lossy };
             let priorities = 2;
-            let lines = f64::from(u32::try_from(MOST_LINES / priorities + 1).expect("few"));
+            let lines = f64::from(u32::try_from(MAX_DEMANDS / priorities + 1).expect("few"));
             let missed = if lossy { 2 } else { 0 };
             let age = TELL_EVERY * STEP * (1 + missed) + delay;
             let age = f64::from(u32::try_from(age).expect("a second or two"));
--- a/components/sidecar/src/call.rs
+++ b/components/sidecar/src/call.rs
@@ -128,7 +128,7 @@
                 self.write(&frame, true).await;
                 self.ended = true;
             }
-            Effect::Report { .. } | Effect::Left => {}
+            Effect::Report { .. } | Effect::Drained => {}
         }
     }
 
--- a/components/sidecar/src/core.rs
+++ b/components/sidecar/src/core.rs
@@ -87,7 +87,7 @@
                 let _ = self.reports.send((to.clone(), report.clone()));
                 return;
             }
-            Effect::Left => {
+            Effect::Drained => {
                 if self.stop.is_asked() {
                     self.stop.finish();
                 }
--- a/components/sidecar/src/server.rs
+++ b/components/sidecar/src/server.rs
@@ -152,7 +152,7 @@
         Frame::Open(open) => call::serve(core, open, exchange.sink).await,
         Frame::Report(report) => call::aggregate(core, report, exchange.sink).await,
         Frame::Note(note) => {
-            core.apply(Event::Note(note));
+            core.apply(Event::DirectoryUpdate(note));
             exchange.sink.end();
         }
         _ => exchange.sink.reset(),
--- a/components/wire/src/demands.rs
+++ b/components/wire/src/demands.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
-use shares::Word;
+use shares::Summary;
 
 /// What is asked of a pool that is short, as one router sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -13,5 +13,5 @@
     /// The pool of upstreams.
     pub pool: Arc<str>,
     /// What it tells.
-    pub word: Word,
+    pub word: Summary,
 }
--- a/components/wire/tests/codec.rs
+++ b/components/wire/tests/codec.rs
@@ -4,7 +4,7 @@
 use clock::Millis;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use shares::{Line, MOST_LINES, Rest, Word};
+use shares::{Demand, MAX_DEMANDS, Remainder, Summary};
 use wire::{
     Chunk, Delay, Demands, End, Ended, Error, Frame, Heard, Load, Loads, MAX_FRAME, Open, Outcome,
     Pace, Reader, Report, Stage, Status, Told, Warm, encode,
@@ -39,10 +39,10 @@
 }
 
 fn demands(at: u64, lines: Vec<(u64, i32, u32, u32)>) -> Demands {
-    let line = |(workspace, priority, asked, served)| Line { workspace, priority, asked, served };
+    let line = |(workspace, priority, asked, served)| Demand { workspace, priority, requested: asked, served };
     let lines = lines.into_iter().map(line).collect();
-    let rest = Rest { workspaces: 3, asked: 70, served: 20 };
-    let word = Word { at: Millis(at), short: true, lacks: false, lines, rest };
+    let rest = Remainder { workspaces: 3, requested: 70, served: 20 };
+    let word = Summary { at: Millis(at), saturated: true, starving: false, demands: lines, remainder: rest };
     Demands { router: "front-1".into(), pool: "engine".into(), word }
 }
 
@@ -177,7 +177,7 @@
 
 #[test]
 fn the_longest_word_on_a_pool_fits_one_datagram() {
-    let demands = demands(u64::MAX, vec![(u64::MAX, i32::MIN, u32::MAX, u32::MAX); MOST_LINES]);
+    let demands = demands(u64::MAX, vec![(u64::MAX, i32::MIN, u32::MAX, u32::MAX); MAX_DEMANDS]);
     let name: std::sync::Arc<str> = "n".repeat(128).into();
     let demands = Demands { router: name.clone(), pool: name, ..demands };
     let bytes = encode(&Frame::Demands(demands)).expect("it fits");
--- a/tests/end_to_end/failures.rs
+++ b/tests/end_to_end/failures.rs
@@ -118,7 +118,7 @@
                 assert_eq!(answer.text, truth);
                 whole += 1;
             }
-            (_, Err(Error::Short { text })) => panic!("a short answer looked whole: {text}"),
+            (_, Err(Error::Truncated { text })) => panic!("a short answer looked whole: {text}"),
             (_, Err(_)) => cut += 1,
         }
     }
