--- a/components/permits/src/decision.rs
+++ b/components/permits/src/decision.rs
@@ -1,34 +1,34 @@
-//! What an owner tells of a pool: its decisions, and the pool at a glance.
+//! What an issuer reports: its decisions, and totals of the pool.
 
 use std::sync::Arc;
 
 use clock::Millis;
 use wire::Turn;
 
-/// A decision for the log.
+/// A decision on a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decision {
-    /// The router that asked.
+    /// The router that claimed.
     pub router: Arc<str>,
-    /// Its number for the request.
+    /// The router's number for the request.
     pub number: u64,
     /// The workspace.
     pub workspace: Arc<str>,
     /// What was decided.
     pub turn: Turn,
-    /// How long it waited here.
+    /// How long the request waited.
     pub waited: Millis,
 }
 
-/// A pool at a glance.
+/// Totals of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// How many permits may be out.
+    /// The largest number of permits that may be in use.
     pub limit: usize,
-    /// How many are.
+    /// The number of permits in use.
     pub in_flight: usize,
-    /// How many requests wait.
+    /// The number of waiting requests.
     pub waiting: usize,
-    /// How many requests the pool answers in 1,000 s.
+    /// The number of requests that the pool completes in 1,000 s.
     pub rate: u32,
 }
--- a/components/permits/src/issuer.rs
+++ b/components/permits/src/issuer.rs
@@ -1,4 +1,4 @@
-//! What the owner of a pool knows of it.
+//! The owner's state of a pool.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -6,36 +6,36 @@
 use clock::Millis;
 use wire::{Claim, Claims, Finish, Held, Release, Turn, Verdict};
 
-use crate::retries::Retries;
-use crate::limit::Limit;
 use crate::decision::{Decision, Snapshot};
-use crate::settings::{Settings, Wait};
+use crate::limit::Limit;
 use crate::queue::{Queue, Waiter};
+use crate::retries::Retries;
+use crate::settings::{Settings, Wait};
 
-/// After how long a permit is free again that its router does not name. Routers name theirs each
-/// 200 ms.
-const LIFE: Millis = Millis(900);
+/// How long a permit is valid that its router does not renew.
+const PERMIT_TTL: Millis = Millis(900);
 
-/// For how long a new owner grants half: by then routers have named the permits they hold.
-const HEARS: Millis = Millis(300);
+/// How long a new owner issues half of the permits. Routers report the permits that they hold
+/// within this time.
+const STARTUP_PERIOD: Millis = Millis(300);
 
-/// How long a decision is kept, for asks that come again.
-const KEPT: Millis = Millis(3_000);
+/// How long a decision is kept, to answer repeated claims.
+const DECISION_RETENTION: Millis = Millis(3_000);
 
-/// From how many decisions on those are dropped whose time is over.
-const MOST_KEPT: usize = 8_192;
+/// The number of stored decisions above which expired ones are dropped.
+const PRUNE_THRESHOLD: usize = 8_192;
 
-/// How long nothing must have waited before a pool is short no more.
-const CALM: Millis = Millis(3_000);
+/// How long a pool must go without waiting or refused requests before it counts as recovered.
+const RECOVERY_PERIOD: Millis = Millis(3_000);
 
 /// The hundredths of an objective within which an answer must be expected.
-const PART: u64 = 60;
+const ANSWER_PERCENT: u64 = 60;
 
-/// The least of an objective that may be waited, one part in so many.
-const LEAST: u64 = 10;
+/// The part of the objective that a request may always wait, as a divisor.
+const MIN_WAIT_DIVISOR: u64 = 10;
 
 /// The objective that counts before one is known.
-const OBJECTIVE: Millis = Millis(1_000);
+const DEFAULT_OBJECTIVE: Millis = Millis(1_000);
 
 /// A router and its number for a request.
 type Id = (Arc<str>, u64);
@@ -43,132 +43,142 @@
 #[derive(Clone, Debug)]
 struct Grant {
     upstream: Arc<str>,
-    at: Millis,
-    named: Millis,
+    granted: Millis,
+    renewed: Millis,
 }
 
 #[derive(Clone, Debug)]
-struct Place {
+struct Upstream {
     limit: Limit,
     listed: bool,
-    out: usize,
+    in_flight: usize,
 }
 
 /// The owner's state of one pool.
 #[derive(Clone, Debug)]
 pub struct Issuer {
     settings: Settings,
-    places: BTreeMap<Arc<str>, Place>,
+    upstreams: BTreeMap<Arc<str>, Upstream>,
     grants: HashMap<Id, Grant>,
     queue: Queue,
-    bookings: Retries,
-    /// Asks that have come since the last turn.
-    fresh: Vec<Id>,
+    retries: Retries,
+    /// Claims that arrived since the last call of `decide`.
+    arrived: Vec<Id>,
+    /// Decisions with their times; `None` for released claims.
     decided: HashMap<Id, (Option<Turn>, Millis)>,
     objective: Millis,
-    since: Millis,
-    busy: Millis,
+    started: Millis,
+    saturated_at: Millis,
 }
 
 impl Issuer {
-    /// A ledger that knows nothing yet.
+    /// Creates an issuer without upstreams.
     pub fn new(settings: Settings, now: Millis) -> Self {
         Self {
             settings,
-            places: BTreeMap::new(),
+            upstreams: BTreeMap::new(),
             grants: HashMap::new(),
             queue: Queue::default(),
-            bookings: Retries::default(),
-            fresh: Vec::new(),
+            retries: Retries::default(),
+            arrived: Vec::new(),
             decided: HashMap::new(),
-            objective: OBJECTIVE,
-            since: now,
-            busy: now,
+            objective: DEFAULT_OBJECTIVE,
+            started: now,
+            saturated_at: now,
         }
     }
 
-    /// Takes which upstreams may be used, and their slots. What is out elsewhere stays counted.
-    pub fn set_upstreams(&mut self, upstreams: &[(Arc<str>, u64)]) {
-        for (name, place) in &mut self.places {
-            place.listed = upstreams.iter().any(|(it, _)| it == name);
+    /// Replaces the usable upstreams and their slots. Permits at other upstreams stay counted.
+    pub fn set_upstreams(&mut self, listed: &[(Arc<str>, u64)]) {
+        for (name, upstream) in &mut self.upstreams {
+            upstream.listed = listed.iter().any(|(other, _)| other == name);
         }
-        for (name, slots) in upstreams {
-            let new = || Place { limit: Limit::new(*slots), listed: true, out: 0 };
-            let place = self.places.entry(name.clone()).or_insert_with(new);
-            if !place.limit.is_for(*slots) {
-                place.limit = Limit::new(*slots);
+        for (name, slots) in listed {
+            let new = || Upstream { limit: Limit::new(*slots), listed: true, in_flight: 0 };
+            let upstream = self.upstreams.entry(name.clone()).or_insert_with(new);
+            if !upstream.limit.is_for(*slots) {
+                upstream.limit = Limit::new(*slots);
             }
         }
-        self.places.retain(|_, it| it.listed || it.out > 0);
+        self.upstreams.retain(|_, upstream| upstream.listed || upstream.in_flight > 0);
     }
 
-    /// Takes what a router tells and asks; returns what it is to be told at once: how asks that
-    /// came before were decided. Messages may come late, twice or never.
+    /// Handles a router's claims, releases and renewals, which may arrive late, repeatedly or
+    /// never. Returns the decisions on claims that were received before.
     pub fn receive(&mut self, claims: &Claims, now: Millis) -> Vec<Verdict> {
         for held in &claims.held {
-            self.hold(&claims.router, held, now);
+            self.renew(&claims.router, held, now);
         }
         for release in &claims.releases {
             self.release(&claims.router, release, now);
         }
-        let told = claims.asks.iter().filter_map(|it| self.ask(&claims.router, it, now));
-        told.collect()
+        let known = claims.asks.iter().filter_map(|claim| self.enqueue(&claims.router, claim, now));
+        known.collect()
     }
 
-    /// Decides what can be decided: who gets a place, and who is refused. Routers are told at once
-    /// of what waits, so that they know that the owner is there and how long messages take.
+    /// Grants free permits and refuses requests that can't get one in time. New requests that
+    /// wait are also returned: the reply shows their routers that the owner is alive, and the
+    /// round-trip time.
     pub fn decide(&mut self, now: Millis) -> Vec<Decision> {
         self.expire(now);
-        let mut lines = Vec::new();
+        let mut decisions = Vec::new();
         while let Some((waiter, upstream)) = self.next(now) {
-            lines.push(self.grant(waiter, &upstream, now));
+            decisions.push(self.grant(waiter, &upstream, now));
         }
         for waiter in self.queue.shed(self.rate_per_ms(now), now) {
-            lines.push(self.refuse(waiter, now));
+            decisions.push(self.refuse(waiter, now));
         }
-        for id in std::mem::take(&mut self.fresh) {
-            lines.extend(self.waits(id, now));
+        for id in std::mem::take(&mut self.arrived) {
+            decisions.extend(self.waiting(id, now));
         }
-        if !self.queue.is_empty() || lines.iter().any(|it| matches!(it.turn, Turn::Refused(_))) {
-            self.busy = now;
+        if !self.queue.is_empty()
+            || decisions.iter().any(|decision| matches!(decision.turn, Turn::Refused(_)))
+        {
+            self.saturated_at = now;
         }
-        lines
+        decisions
     }
 
-    /// The pool is short, or still is: an upstream of it has turned a request away.
+    /// Records that an upstream refused a request for lack of slots.
     pub fn mark_saturated(&mut self, now: Millis) {
-        self.busy = now;
+        self.saturated_at = now;
     }
 
-    /// Whether the pool is short no more.
+    /// Whether the pool is no longer saturated.
     pub fn has_recovered(&self, now: Millis) -> bool {
-        self.busy.until(now) > CALM
+        self.saturated_at.until(now) > RECOVERY_PERIOD
     }
 
-    /// The pool at a glance.
+    /// Returns the totals of the pool.
     pub fn snapshot(&self, now: Millis) -> Snapshot {
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "bounded")]
         let rate = (self.rate_per_ms(now) * 1_000_000.0).min(f64::from(u32::MAX)) as u32;
         Snapshot {
-            limit: self.open(now).map(|(_, it)| it.limit.permits(self.objective, now)).sum(),
+            limit: self
+                .usable(now)
+                .map(|(_, upstream)| upstream.limit.permits(self.objective, now))
+                .sum(),
             in_flight: self.grants.len(),
             waiting: self.queue.len(),
             rate,
         }
     }
 
-    /// The upstreams, how many permits each may have out, and how many it has.
+    /// Iterates over the upstreams with their limits and the permits in use.
     pub fn upstreams(&self, now: Millis) -> impl Iterator<Item = (&Arc<str>, usize, usize)> {
-        let permits = move |it: &Place| it.limit.permits(self.objective, now);
-        self.places.iter().map(move |(name, it)| (name, permits(it), it.out))
+        let permits = move |upstream: &Upstream| upstream.limit.permits(self.objective, now);
+        self.upstreams
+            .iter()
+            .map(move |(name, upstream)| (name, permits(upstream), upstream.in_flight))
     }
 
-    /// The permits that are out: the routers, their numbers and the upstreams.
+    /// Iterates over the permits in use: router, number and upstream.
     pub fn grants(&self) -> impl Iterator<Item = (&Arc<str>, u64, &Arc<str>)> {
-        self.grants.iter().map(|((router, number), it)| (router, *number, &it.upstream))
+        self.grants.iter().map(|((router, number), grant)| (router, *number, &grant.upstream))
     }
 
-    fn ask(&mut self, router: &Arc<str>, claim: &Claim, now: Millis) -> Option<Verdict> {
+    /// Queues a claim, or returns the decision if the claim is known.
+    fn enqueue(&mut self, router: &Arc<str>, claim: &Claim, now: Millis) -> Option<Verdict> {
         let id = (router.clone(), claim.number);
         let number = claim.number;
         if let Some((turn, _)) = self.decided.get(&id) {
@@ -179,17 +189,17 @@
         }
         let objective = Millis(u64::from(claim.objective_ms));
         self.objective = objective;
-        self.fresh.push(id.clone());
-        let came = Millis(now.0.saturating_sub(u64::from(claim.age_ms)));
+        self.arrived.push(id.clone());
+        let arrived = Millis(now.0.saturating_sub(u64::from(claim.age_ms)));
         self.queue.push(Waiter {
-            standing: self.bookings.standing(claim.content, now),
+            timing: self.retries.record_arrival(claim.content, now),
             id,
             workspace: claim.workspace.clone(),
-            content: claim.content,
+            fingerprint: claim.content,
             urgency: claim.urgency,
             repeatable: claim.repeatable,
-            came,
-            until: came + self.budget(objective, now),
+            arrived,
+            deadline: arrived + self.max_wait(objective, now),
             objective,
             avoid: claim.avoid.clone(),
         });
@@ -197,141 +207,156 @@
     }
 
     /// How long a request may wait here.
-    fn budget(&self, objective: Millis, now: Millis) -> Millis {
+    fn max_wait(&self, objective: Millis, now: Millis) -> Millis {
         if self.settings.wait == Wait::None {
             return Millis::ZERO;
         }
-        let took = self.open(now).map(|(_, it)| it.limit.took_ms()).fold(0.0, f64::max);
+        let latency =
+            self.usable(now).map(|(_, upstream)| upstream.limit.latency_ms()).fold(0.0, f64::max);
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "short")]
-        let took = Millis(took as u64);
-        took.until(Millis(objective.0 * PART / 100)).max(Millis(objective.0 / LEAST))
+        let latency = Millis(latency as u64);
+        latency
+            .until(Millis(objective.0 * ANSWER_PERCENT / 100))
+            .max(Millis(objective.0 / MIN_WAIT_DIVISOR))
     }
 
     fn release(&mut self, router: &Arc<str>, release: &Release, now: Millis) {
         let id = (router.clone(), release.number);
         self.queue.remove(&id);
-        let known = self.grants.get(&id).map(|it| it.upstream.clone());
-        let first = known.is_some() || !self.decided.contains_key(&id);
-        // An ask that comes later than this is of no interest to anybody.
+        let granted = self.grants.get(&id).map(|grant| grant.upstream.clone());
+        let first = granted.is_some() || !self.decided.contains_key(&id);
+        // Ignores the claim if it arrives after its release.
         self.record_decision(&id, None, now);
-        let upstream = known.unwrap_or_else(|| release.upstream.clone());
-        if let Some(place) = self.places.get_mut(&upstream).filter(|_| first) {
-            let out = self.grants.get(&id).map_or(Millis::ZERO, |it| it.at.until(now));
-            let full = place.out >= place.limit.permits(self.objective, now);
+        let upstream = granted.unwrap_or_else(|| release.upstream.clone());
+        if let Some(upstream) = self.upstreams.get_mut(&upstream).filter(|_| first) {
+            let held = self.grants.get(&id).map_or(Millis::ZERO, |grant| grant.granted.until(now));
+            let full = upstream.in_flight >= upstream.limit.permits(self.objective, now);
             match release.end {
                 Finish::Answered => {
-                    place.limit.answered(Millis(u64::from(release.took_ms)), out, full);
+                    upstream.limit.record_answer(
+                        Millis(u64::from(release.took_ms)),
+                        held,
+                        full,
+                    );
                 }
                 Finish::Full => {
-                    place.limit.refused(place.out, now);
-                    self.busy = now;
+                    upstream.limit.record_refusal(upstream.in_flight, now);
+                    self.saturated_at = now;
                 }
-                Finish::Failed => place.limit.failed(now),
+                Finish::Failed => upstream.limit.record_failure(now),
                 Finish::Unused => {}
             }
         }
-        self.free(&id);
+        self.remove_grant(&id);
     }
 
-    /// A router names permits that it holds. One that is not known is from another owner, or
-    /// was taken to be lost.
-    fn hold(&mut self, router: &Arc<str>, held: &Held, now: Millis) {
+    /// Renews the permits that a router holds. Unknown ones were granted by an earlier owner or
+    /// have expired; they are counted again.
+    fn renew(&mut self, router: &Arc<str>, held: &Held, now: Millis) {
         for number in &held.numbers {
             let id = (router.clone(), *number);
             if let Some(grant) = self.grants.get_mut(&id) {
-                grant.named = now;
+                grant.renewed = now;
             } else if !matches!(self.decided.get(&id), Some((None | Some(Turn::Refused(_)), _))) {
-                self.take(id, &held.upstream, now);
+                self.insert_grant(id, &held.upstream, now);
             }
         }
     }
 
-    fn take(&mut self, id: Id, upstream: &Arc<str>, now: Millis) {
-        let new = || Place { limit: Limit::new(0), listed: false, out: 0 };
-        self.places.entry(upstream.clone()).or_insert_with(new).out += 1;
-        self.grants.insert(id, Grant { upstream: upstream.clone(), at: now, named: now });
+    fn insert_grant(&mut self, id: Id, upstream: &Arc<str>, now: Millis) {
+        let new = || Upstream { limit: Limit::new(0), listed: false, in_flight: 0 };
+        self.upstreams.entry(upstream.clone()).or_insert_with(new).in_flight += 1;
+        self.grants.insert(id, Grant { upstream: upstream.clone(), granted: now, renewed: now });
     }
 
-    fn free(&mut self, id: &Id) {
+    fn remove_grant(&mut self, id: &Id) {
         let Some(grant) = self.grants.remove(id) else { return };
-        if let Some(place) = self.places.get_mut(&grant.upstream) {
-            place.out = place.out.saturating_sub(1);
+        if let Some(upstream) = self.upstreams.get_mut(&grant.upstream) {
+            upstream.in_flight = upstream.in_flight.saturating_sub(1);
         }
     }
 
+    /// Drops permits that were not renewed, and old decisions.
     fn expire(&mut self, now: Millis) {
-        let lost = |(id, it): (&Id, &Grant)| (it.named.until(now) > LIFE).then(|| id.clone());
-        for id in self.grants.iter().filter_map(lost).collect::<Vec<_>>() {
-            self.free(&id);
+        let expired = |(id, grant): (&Id, &Grant)| {
+            (grant.renewed.until(now) > PERMIT_TTL).then(|| id.clone())
+        };
+        for id in self.grants.iter().filter_map(expired).collect::<Vec<_>>() {
+            self.remove_grant(&id);
         }
-        for lasts in [KEPT, Millis(KEPT.0 / 4)] {
-            if self.decided.len() > MOST_KEPT {
-                self.decided.retain(|_, (_, at)| at.until(now) < lasts);
+        for retention in [DECISION_RETENTION, Millis(DECISION_RETENTION.0 / 4)] {
+            if self.decided.len() > PRUNE_THRESHOLD {
+                self.decided.retain(|_, (_, at)| at.until(now) < retention);
             }
         }
     }
 
-    fn open(&self, now: Millis) -> impl Iterator<Item = (&Arc<str>, &Place)> {
-        let opens = move |it: &Place| it.listed && it.limit.permits(self.objective, now) > 0;
-        self.places.iter().filter(move |(_, it)| opens(it))
+    /// Iterates over the listed upstreams that accept requests.
+    fn usable(&self, now: Millis) -> impl Iterator<Item = (&Arc<str>, &Upstream)> {
+        let is_usable = move |upstream: &Upstream| {
+            upstream.listed && upstream.limit.permits(self.objective, now) > 0
+        };
+        self.upstreams.iter().filter(move |(_, upstream)| is_usable(upstream))
     }
 
-    /// How many places the pool frees in a millisecond.
+    /// The number of requests per millisecond that the pool completes.
     fn rate_per_ms(&self, now: Millis) -> f64 {
-        self.open(now).map(|(_, it)| it.limit.rate_per_ms()).sum()
+        self.usable(now).map(|(_, upstream)| upstream.limit.rate_per_ms()).sum()
     }
 
-    /// The next request that gets a place, and the upstream with the most room for it.
+    /// Takes the next request that can be granted, with the upstream that has the largest free
+    /// fraction among those that the request does not avoid.
     fn next(&mut self, now: Millis) -> Option<(Waiter, Arc<str>)> {
-        let free = self.free_places(now);
+        let free = self.free_upstreams(now);
         if free.is_empty() || self.queue.is_empty() {
             return None;
         }
-        let place = |it: &Waiter| free.iter().find(|(name, _)| !it.avoid.contains(name));
-        let waiter = self.queue.pop(|it| place(it).is_some(), now)?;
-        let upstream = place(&waiter)?.0.clone();
+        let target =
+            |waiter: &Waiter| free.iter().find(|(name, _)| !waiter.avoid.contains(name));
+        let waiter = self.queue.pop(|waiter| target(waiter).is_some(), now)?;
+        let upstream = target(&waiter)?.0.clone();
         Some((waiter, upstream))
     }
 
-    /// Upstreams with room, the one with the most first.
-    fn free_places(&self, now: Millis) -> Vec<(Arc<str>, f64)> {
-        let halves = self.since.until(now) < HEARS;
-        let room = |(name, it): (&Arc<str>, &Place)| {
-            let permits = it.limit.permits(self.objective, now);
-            let permits = if halves { permits.div_ceil(2) } else { permits };
-            let room = permits.checked_sub(it.out).filter(|it| *it > 0)?;
+    /// The upstreams with free permits and the fraction that is free, largest first.
+    fn free_upstreams(&self, now: Millis) -> Vec<(Arc<str>, f64)> {
+        let starting = self.started.until(now) < STARTUP_PERIOD;
+        let free = |(name, upstream): (&Arc<str>, &Upstream)| {
+            let permits = upstream.limit.permits(self.objective, now);
+            let permits = if starting { permits.div_ceil(2) } else { permits };
+            let free = permits.checked_sub(upstream.in_flight).filter(|free| *free > 0)?;
             #[expect(clippy::cast_precision_loss, reason = "few")]
-            let part = room as f64 / permits as f64;
-            Some((name.clone(), part))
+            let fraction = free as f64 / permits as f64;
+            Some((name.clone(), fraction))
         };
-        let mut free: Vec<_> = self.open(now).filter_map(room).collect();
+        let mut free: Vec<_> = self.usable(now).filter_map(free).collect();
         free.sort_by(|one, other| other.1.total_cmp(&one.1));
         free
     }
 
     fn grant(&mut self, waiter: Waiter, upstream: &Arc<str>, now: Millis) -> Decision {
-        self.take(waiter.id.clone(), upstream, now);
-        self.line(waiter, Turn::Granted(upstream.clone()), now)
+        self.insert_grant(waiter.id.clone(), upstream, now);
+        self.decision(waiter, Turn::Granted(upstream.clone()), now)
     }
 
     fn refuse(&mut self, waiter: Waiter, now: Millis) -> Decision {
         let rate = self.rate_per_ms(now);
-        let after = self.bookings.book(waiter.content, waiter.objective, rate, now);
+        let after = self.retries.schedule(waiter.fingerprint, waiter.objective, rate, now);
         let after = u32::try_from(after.0).unwrap_or(u32::MAX);
-        self.line(waiter, Turn::Refused(after), now)
+        self.decision(waiter, Turn::Refused(after), now)
     }
 
-    fn waits(&self, id: Id, now: Millis) -> Option<Decision> {
+    fn waiting(&self, id: Id, now: Millis) -> Option<Decision> {
         let waiter = self.queue.get(&id)?;
-        let (workspace, age) = (waiter.workspace.clone(), waiter.came.until(now));
-        Some(Decision { router: id.0, number: id.1, workspace, turn: Turn::Waits, waited: age })
+        let (workspace, waited) = (waiter.workspace.clone(), waiter.arrived.until(now));
+        Some(Decision { router: id.0, number: id.1, workspace, turn: Turn::Waits, waited })
     }
 
-    fn line(&mut self, waiter: Waiter, turn: Turn, now: Millis) -> Decision {
+    fn decision(&mut self, waiter: Waiter, turn: Turn, now: Millis) -> Decision {
         self.record_decision(&waiter.id, Some(turn.clone()), now);
         let (router, number) = waiter.id;
-        let age = waiter.came.until(now);
-        Decision { router, number, workspace: waiter.workspace, turn, waited: age }
+        let waited = waiter.arrived.until(now);
+        Decision { router, number, workspace: waiter.workspace, turn, waited }
     }
 
     fn record_decision(&mut self, id: &Id, turn: Option<Turn>, now: Millis) {
--- a/components/permits/src/lib.rs
+++ b/components/permits/src/lib.rs
@@ -1,27 +1,27 @@
-//! Who gets the places of a pool that is short of them.
+//! Permits for the slots of a saturated pool.
 //!
-//! A pool of few slots that tells nothing of its load turns away what it has no room for, and
-//! no router knows what the others have there. While it is short, one router, its owner, keeps
-//! an [`Issuer`] of the pool: how much each upstream bears ([`Limit`]), which permits are out, who
-//! waits in which order ([`Queue`]) and when callers that were refused come back ([`Retries`]).
-//! The others ask it for a permit before they send ([`Requester`]).
+//! Some upstreams have few slots, don't report their load and refuse requests when they are
+//! full. While such a pool is saturated, one router, its [`owner`], issues permits with an
+//! [`Issuer`]: it tracks the concurrency [`Limit`] of each upstream and the permits in use,
+//! orders waiting requests in a [`Queue`] and spreads the retries of refused callers over time
+//! ([`Retries`]). Each router requests permits through a [`Requester`].
 //!
 //! All of it is plain state: messages and the time in, messages and decisions out.
 
-mod retries;
+mod decision;
 mod issuer;
 mod limit;
-mod decision;
 mod owner;
+mod queue;
 mod requester;
+mod retries;
 mod settings;
-mod queue;
 
-pub use retries::{Retries, Timing};
+pub use decision::{Decision, Snapshot};
 pub use issuer::Issuer;
 pub use limit::Limit;
-pub use decision::{Decision, Snapshot};
 pub use owner::owner;
-pub use requester::{Resolution, Requester};
-pub use settings::{Settings, Wait};
 pub use queue::{Queue, Waiter};
+pub use requester::{Requester, Resolution};
+pub use retries::{Retries, Timing};
+pub use settings::{Settings, Wait};
--- a/components/permits/src/owner.rs
+++ b/components/permits/src/owner.rs
@@ -1,15 +1,17 @@
-//! Which router owns a pool.
+//! The owner of a pool.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use wire::Peer;
 
-/// The router that owns `pool`: the first by rank, the strong before the weak. Routers that
-/// know of different others may name different owners; each then counts for those that ask it.
+/// Chooses the router that owns `pool` by rendezvous hashing, weighted by strength. Routers with
+/// different views of the fleet may choose different owners; each then serves the routers that
+/// chose it.
 pub fn owner<'a>(pool: &str, routers: &'a BTreeMap<Arc<str>, Peer>) -> Option<&'a Peer> {
     let key = placement::key("", pool);
-    let score = |it: &Peer| placement::score(key, &it.name, f64::from(it.strength.max(1)));
-    let reachable = routers.values().filter(|it| it.hints.is_some());
+    let score =
+        |peer: &Peer| placement::score(key, &peer.name, f64::from(peer.strength.max(1)));
+    let reachable = routers.values().filter(|peer| peer.hints.is_some());
     reachable.max_by(|one, other| score(one).total_cmp(&score(other)))
 }
--- a/components/permits/src/queue.rs
+++ b/components/permits/src/queue.rs
@@ -1,11 +1,11 @@
-//! In which order requests get the places of a pool.
+//! The order in which waiting requests get the permits of a pool.
 //!
-//! The more urgent go first, and one place in a few goes by shares alone, so that nothing
-//! starves. Within an urgency, workspaces take turns: each has a tag that grows with every place
-//! it gets, and the lowest tag is next. A workspace that was away starts at the tag of the last
-//! that was served, so that it neither saves up turns nor pays for places nobody else wanted.
-//! Within a workspace, and among equal tags, callers that were told to come now go first, then
-//! what may not be repeated, then the earliest deadline.
+//! More urgent requests go first, but one permit in a few ignores urgency, which prevents
+//! starvation. Requests of equal urgency are ordered by start-time fair queueing: each workspace
+//! has a tag that grows with every permit it gets, and the lowest tag is next. A workspace that
+//! was idle resumes at the tag served last, so it neither saves up credit nor is charged for
+//! permits that no other workspace requested. Ties go to retries at their time, then to requests
+//! that must not be repeated, then to the earliest deadline.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,176 +14,181 @@
 
 use crate::retries::Timing;
 
-/// Of so many places one goes by shares alone, whatever the urgency.
-const FLOOR: u32 = 8;
+/// One permit out of this many ignores urgency.
+const FAIR_INTERVAL: u32 = 8;
 
-/// The most requests that wait.
-const MOST: usize = 256;
+/// The largest number of waiting requests, and of workspaces with a tag or a usage count.
+const MAX_ENTRIES: usize = 256;
 
-/// One part in so many of an objective, after which a request is let be: it goes before those
-/// that came later, so that nobody is refused who has waited.
-const SETTLED: u64 = 10;
+/// The part of its objective, as a divisor, after which a waiting request goes before newer
+/// ones and is no longer shed for them.
+const PROTECTED_DIVISOR: u64 = 10;
 
-/// The part of what is left within which a request must be expected to get its place: what is
-/// expected is met on the mean only.
-const SURE: f64 = 0.7;
+/// The part of the time left within which a request must be expected to get its permit. The
+/// margin covers variation around the expected wait.
+const WAIT_RATIO: f64 = 0.7;
 
-/// The same for a workspace that is above its share, and for who comes before its time: they leave
-/// room for the others.
-const SURE_ABOVE: f64 = 0.1;
+/// The same for workspaces over their share and for early retries.
+const LOW_PRIORITY_WAIT_RATIO: f64 = 0.1;
 
-/// How many times the mean of all that have been served lately a workspace must have got to be
-/// above its share.
-const ABOVE: f64 = 1.5;
+/// The ratio to the mean usage above which a workspace is over its share.
+const OVER_SHARE_RATIO: f64 = 1.5;
 
-/// After how long a place that a workspace got counts half, in milliseconds.
+/// The half-life of usage counts, in milliseconds.
 const HALF_LIFE_MS: f64 = 1_000.0;
 
-/// What is left of a workspace's places that is not worth counting.
-const NOTHING: f64 = 0.1;
+/// The usage count below which a workspace is ignored.
+const MIN_USAGE: f64 = 0.1;
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Waiter {
-    /// The router that asks, and its number.
+    /// The router and its number for the request.
     pub id: (Arc<str>, u64),
     /// The workspace.
     pub workspace: Arc<str>,
     /// The hash of the work.
-    pub content: u64,
-    /// Lower goes first.
+    pub fingerprint: u64,
+    /// Lower values go first.
     pub urgency: i32,
-    /// Whether it may be repeated.
+    /// Whether the request may be repeated.
     pub repeatable: bool,
-    /// How it stands to the time that it was told.
-    pub standing: Timing,
-    /// Since when it waits.
-    pub came: Millis,
-    /// Until when it may wait.
-    pub until: Millis,
-    /// The time to an answer that its caller hopes for.
+    /// When it arrived relative to its retry time.
+    pub timing: Timing,
+    /// When it arrived at its router.
+    pub arrived: Millis,
+    /// When it stops waiting.
+    pub deadline: Millis,
+    /// The target time to an answer.
     pub objective: Millis,
-    /// The upstreams that it has been to.
+    /// Upstreams that it was already sent to.
     pub avoid: Vec<Arc<str>>,
 }
 
-/// The requests that wait for a place of one pool.
+/// The requests that wait for a permit of one pool.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
     waiting: Vec<Waiter>,
-    turns: Turns,
+    scheduler: Scheduler,
 }
 
-/// Whose turn it is.
+/// Fair order between workspaces.
 #[derive(Clone, Debug, Default)]
-struct Turns {
-    /// The tags of workspaces that have got places.
+struct Scheduler {
+    /// The tags of workspaces that got permits.
     tags: HashMap<Arc<str>, u64>,
-    /// The tag of the last that was served.
-    now: u64,
+    /// The tag of the workspace served last.
+    current: u64,
     served: u32,
-    /// The places that workspaces have got lately, fading, and as of when.
-    got: HashMap<Arc<str>, (f64, Millis)>,
+    /// The permits that workspaces got, as decaying counts with the time of the last update.
+    usage: HashMap<Arc<str>, (f64, Millis)>,
 }
 
-impl Turns {
+impl Scheduler {
     fn tag(&self, workspace: &str) -> u64 {
-        self.tags.get(workspace).copied().unwrap_or_default().max(self.now)
+        self.tags.get(workspace).copied().unwrap_or_default().max(self.current)
     }
 
-    /// The place in `waiting` of the next one.
+    /// The index in `waiting` of the next request.
     fn next<'a>(&self, waiting: impl Iterator<Item = &'a Waiter>, now: Millis) -> Option<usize> {
-        let by_share = (self.served + 1).is_multiple_of(FLOOR);
-        let order = |it: &Waiter| {
-            let urgency = if by_share { 0 } else { it.urgency };
-            // A caller that keeps its time is a turn ahead of new ones.
-            let ahead = u64::from(it.standing == Timing::OnTime);
-            let tag = (self.tag(&it.workspace) + 1).saturating_sub(ahead);
-            // One that comes before its time gains nothing.
-            (urgency, it.standing == Timing::Early, tag, it.standing, it.repeatable)
+        let ignores_urgency = (self.served + 1).is_multiple_of(FAIR_INTERVAL);
+        let order = |waiter: &Waiter| {
+            let urgency = if ignores_urgency { 0 } else { waiter.urgency };
+            // A retry at its time goes one tag ahead of new requests.
+            let ahead = u64::from(waiter.timing == Timing::OnTime);
+            let tag = (self.tag(&waiter.workspace) + 1).saturating_sub(ahead);
+            // Early retries go last within their urgency.
+            (urgency, waiter.timing == Timing::Early, tag, waiter.timing, waiter.repeatable)
         };
-        let key = |it: &Waiter| {
-            let order = (!it.is_settled(now)).then(|| order(it));
-            (order, it.until, it.came)
+        let key = |waiter: &Waiter| {
+            let order = (!waiter.is_protected(now)).then(|| order(waiter));
+            (order, waiter.deadline, waiter.arrived)
         };
-        waiting.enumerate().min_by_key(|(_, it)| key(it)).map(|(place, _)| place)
+        waiting.enumerate().min_by_key(|(_, waiter)| key(waiter)).map(|(index, _)| index)
     }
 
-    /// The workspaces that are above their share.
-    fn above(&self, now: Millis) -> Vec<Arc<str>> {
-        let got = |(name, (got, at)): (&Arc<str>, &(f64, Millis))| {
-            let got = fade(*got, *at, now);
-            (got > NOTHING).then(|| (name.clone(), got))
+    /// The workspaces that are over their share.
+    fn over_share(&self, now: Millis) -> Vec<Arc<str>> {
+        let usage = |(name, (count, at)): (&Arc<str>, &(f64, Millis))| {
+            let count = decay(*count, *at, now);
+            (count > MIN_USAGE).then(|| (name.clone(), count))
         };
-        let got: Vec<_> = self.got.iter().filter_map(got).collect();
-        let all: f64 = got.iter().map(|it| it.1).sum();
-        let share = all / f64::from(u32::try_from(got.len().max(1)).unwrap_or(u32::MAX));
-        got.into_iter().filter(|it| it.1 > share * ABOVE).map(|it| it.0).collect()
+        let usage: Vec<_> = self.usage.iter().filter_map(usage).collect();
+        let total: f64 = usage.iter().map(|entry| entry.1).sum();
+        let share = total / f64::from(u32::try_from(usage.len().max(1)).unwrap_or(u32::MAX));
+        usage
+            .into_iter()
+            .filter(|entry| entry.1 > share * OVER_SHARE_RATIO)
+            .map(|entry| entry.0)
+            .collect()
     }
 
-    /// Takes that a workspace has got a place.
-    fn count(&mut self, workspace: &Arc<str>, now: Millis) {
-        let (got, at) = self.got.get(workspace).copied().unwrap_or_default();
-        self.got.insert(workspace.clone(), (fade(got, at, now) + 1.0, now));
-        if self.got.len() > MOST {
-            self.got.retain(|_, (got, at)| fade(*got, *at, now) > NOTHING);
+    /// Adds a permit to a workspace's usage.
+    fn add_usage(&mut self, workspace: &Arc<str>, now: Millis) {
+        let (count, at) = self.usage.get(workspace).copied().unwrap_or_default();
+        self.usage.insert(workspace.clone(), (decay(count, at, now) + 1.0, now));
+        if self.usage.len() > MAX_ENTRIES {
+            self.usage.retain(|_, (count, at)| decay(*count, *at, now) > MIN_USAGE);
         }
     }
 
-    fn serve(&mut self, workspace: &Arc<str>) {
+    fn advance(&mut self, workspace: &Arc<str>) {
         let tag = self.tag(workspace);
-        self.now = tag;
+        self.current = tag;
         self.served = self.served.wrapping_add(1);
         self.tags.insert(workspace.clone(), tag + 1);
-        if self.tags.len() > MOST {
-            self.tags.retain(|_, it| *it > tag);
+        if self.tags.len() > MAX_ENTRIES {
+            self.tags.retain(|_, other| *other > tag);
         }
     }
 }
 
 impl Queue {
-    /// Takes a request.
+    /// Adds a request.
     pub fn push(&mut self, waiter: Waiter) {
         self.waiting.push(waiter);
     }
 
-    /// Takes back a request. Returns whether it was there.
+    /// Removes a request. Returns whether it was waiting.
     pub fn remove(&mut self, id: &(Arc<str>, u64)) -> bool {
         let before = self.waiting.len();
-        self.waiting.retain(|it| it.id != *id);
+        self.waiting.retain(|waiter| waiter.id != *id);
         self.waiting.len() != before
     }
 
-    /// A request that waits.
+    /// Returns a waiting request.
     pub fn get(&self, id: &(Arc<str>, u64)) -> Option<&Waiter> {
-        self.waiting.iter().find(|it| it.id == *id)
+        self.waiting.iter().find(|waiter| waiter.id == *id)
     }
 
-    /// The next request for which `fits`.
+    /// Removes and returns the next request for which `fits` is true.
     pub fn pop(&mut self, fits: impl Fn(&Waiter) -> bool, now: Millis) -> Option<Waiter> {
-        let places: Vec<usize> =
-            (0..self.waiting.len()).filter(|it| fits(&self.waiting[*it])).collect();
-        let next = self.turns.next(places.iter().map(|it| &self.waiting[*it]), now)?;
-        let waiter = self.waiting.remove(places[next]);
-        self.turns.serve(&waiter.workspace);
-        self.turns.count(&waiter.workspace, now);
+        let indices: Vec<usize> =
+            (0..self.waiting.len()).filter(|index| fits(&self.waiting[*index])).collect();
+        let next =
+            self.scheduler.next(indices.iter().map(|index| &self.waiting[*index]), now)?;
+        let waiter = self.waiting.remove(indices[next]);
+        self.scheduler.advance(&waiter.workspace);
+        self.scheduler.add_usage(&waiter.workspace, now);
         Some(waiter)
     }
 
-    /// Takes out those that would wait for too long in a pool that frees `rate_per_ms` places.
+    /// Removes and returns the requests that would not get a permit in time if the pool
+    /// completes `rate_per_ms` requests per millisecond.
     pub fn shed(&mut self, rate_per_ms: f64, now: Millis) -> Vec<Waiter> {
-        let mut turns = self.turns.clone();
+        let mut scheduler = self.scheduler.clone();
         let mut left: Vec<Waiter> = std::mem::take(&mut self.waiting);
         let mut shed = Vec::new();
-        let above = self.turns.above(now);
-        while let Some(next) = turns.next(left.iter(), now) {
+        let over_share = self.scheduler.over_share(now);
+        while let Some(next) = scheduler.next(left.iter(), now) {
             let waiter = left.remove(next);
-            let before = u32::try_from(self.waiting.len() + 1).unwrap_or(u32::MAX);
-            let wait = f64::from(before) / rate_per_ms.max(0.000_1);
-            let gives_way = waiter.standing == Timing::Early || above.contains(&waiter.workspace);
-            let sure = if gives_way { SURE_ABOVE } else { SURE };
-            if self.waiting.len() < MOST && is_in_time(&waiter, wait / sure, now) {
-                turns.serve(&waiter.workspace);
+            let position = u32::try_from(self.waiting.len() + 1).unwrap_or(u32::MAX);
+            let wait = f64::from(position) / rate_per_ms.max(0.000_1);
+            let low_priority =
+                waiter.timing == Timing::Early || over_share.contains(&waiter.workspace);
+            let ratio = if low_priority { LOW_PRIORITY_WAIT_RATIO } else { WAIT_RATIO };
+            if self.waiting.len() < MAX_ENTRIES && is_in_time(&waiter, wait / ratio, now) {
+                scheduler.advance(&waiter.workspace);
                 self.waiting.push(waiter);
             } else {
                 shed.push(waiter);
@@ -192,37 +197,37 @@
         shed
     }
 
-    /// How many wait.
+    /// The number of waiting requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether none does.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 }
 
 impl Waiter {
-    /// Whether it has waited for so long that later ones do not push it out.
-    fn is_settled(&self, now: Millis) -> bool {
-        self.came.until(now).0 * SETTLED > self.objective.0
+    /// Whether it has waited long enough that newer requests don't displace it.
+    fn is_protected(&self, now: Millis) -> bool {
+        self.arrived.until(now).0 * PROTECTED_DIVISOR > self.objective.0
     }
 }
 
-/// Whether a request that has `wait` milliseconds before it gets its place in time. One that is
-/// settled is let be until its time is over.
+/// Whether a request that expects to wait `wait` milliseconds gets its permit in time.
+/// Protected requests are in time until their deadline.
 fn is_in_time(waiter: &Waiter, wait: f64, now: Millis) -> bool {
-    let left = now.until(waiter.until);
-    if waiter.is_settled(now) {
+    let left = now.until(waiter.deadline);
+    if waiter.is_protected(now) {
         return left > Millis::ZERO;
     }
-    #[expect(clippy::cast_precision_loss, reason = "a part of an objective")]
+    #[expect(clippy::cast_precision_loss, reason = "part of an objective")]
     let in_time = wait <= left.0 as f64;
     in_time
 }
 
-fn fade(count: f64, at: Millis, now: Millis) -> f64 {
+fn decay(count: f64, at: Millis, now: Millis) -> f64 {
     #[expect(clippy::cast_precision_loss, reason = "seconds")]
     let age = at.until(now).0 as f64;
     count * 0.5_f64.powf(age / HALF_LIFE_MS)
--- a/components/permits/src/requester.rs
+++ b/components/permits/src/requester.rs
@@ -1,270 +1,295 @@
-//! The asking side: what a router has asked the owner of a pool, and the permits that it holds.
+//! A router's side: its claims on a pool's owner and the permits that it holds.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use crate::retries::LONGEST;
+use crate::retries::MAX_RETRY_AFTER;
 use clock::Millis;
 use wire::{Claim, Claims, Finish, Held, Release, Short, Turn, Verdict};
 
-/// How often permits are named.
-const NAMES: Millis = Millis(200);
+/// The time between two renewals of held permits.
+const RENEWAL_INTERVAL: Millis = Millis(200);
 
-/// How soon an ask is repeated at first, and at least.
-const AGAIN: Millis = Millis(25);
-const LEAST_AGAIN: Millis = Millis(8);
+/// The round-trip time to an owner before any was measured, and the smallest one assumed.
+const DEFAULT_ROUND_TRIP: Millis = Millis(25);
+const MIN_ROUND_TRIP: Millis = Millis(8);
 
-/// The longest time to an owner and back that is learnt.
-const LONGEST_ROUND: Millis = Millis(200);
+/// The longest round-trip time that is recorded.
+const MAX_ROUND_TRIP: Millis = Millis(200);
 
-/// How much of its objective, in hundredths, a request waits for the first word of an owner: the
-/// least, and the most where messages take long.
-const PATIENCE: u64 = 20;
-const MOST_PATIENCE: u64 = 40;
+/// The part of its objective that a request waits for the owner's first reply. Between the
+/// bounds it is two round trips.
+const MIN_REPLY_WAIT_PERCENT: u64 = 20;
+const MAX_REPLY_WAIT_PERCENT: u64 = 40;
 
-/// How much of its objective, in hundredths, a request waits that an owner said waits.
-const WAITS: u64 = 70;
+/// The part of its objective that a request waits in the owner's queue.
+const QUEUED_WAIT_PERCENT: u64 = 70;
 
-/// How long releases are told again: datagrams are lost.
-const TELLS: u32 = 2;
+/// How many times a release is sent, as datagrams may be lost.
+const RELEASE_SENDS: u32 = 2;
 
-/// How long an owner that said nothing is not waited for.
-const AVOIDS: Millis = Millis(400);
+/// How long requests don't wait for an owner that has not replied.
+const SILENCE_BACKOFF: Millis = Millis(400);
 
-/// The most of one kind in a message, so that it fits a datagram where names are short.
-const MOST: usize = 8;
+/// The largest number of entries of a kind in a message, so that it fits a datagram.
+const MAX_ENTRIES: usize = 8;
 
-/// The least rate of a pool that is reckoned with, in requests a millisecond.
-const LEAST_RATE: f64 = 0.001;
+/// The lowest rate assumed for a pool, in requests per millisecond.
+const MIN_RATE: f64 = 0.001;
 
-/// The least time that a caller is told to stay away where this router decides alone.
-const LEAST_AFTER: Millis = Millis(100);
+/// The shortest time that a caller is asked to wait if this router refuses by itself.
+const MIN_RETRY_AFTER: Millis = Millis(100);
 
-/// The most asks that were given up and are remembered.
-const MOST_GIVEN_UP: usize = 64;
+/// The largest number of expired claims that are kept to measure round trips.
+const MAX_EXPIRED: usize = 64;
 
-/// What has come of an ask.
+/// The outcome of a request for a permit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Resolution {
     /// It may be sent to this upstream.
     Granted(Arc<str>),
-    /// It is refused; its caller may come back in so many milliseconds.
+    /// It is refused; its caller may retry after this many milliseconds.
     Refused(u64),
-    /// The owner says nothing, and this router's own share of the places has room.
+    /// The owner did not reply; the request may be sent without a permit.
     Unanswered,
 }
 
 #[derive(Clone, Debug)]
-struct Asked {
+struct Pending {
     claim: Claim,
-    came: Millis,
-    /// When it was sent first.
-    first: Millis,
-    sent: Option<Millis>,
-    waits: bool,
+    arrived: Millis,
+    first_sent: Millis,
+    last_sent: Option<Millis>,
+    queued: bool,
 }
 
-/// What a router asks of the owner of one pool.
+/// A router's claims and permits for one pool.
 #[derive(Clone, Debug)]
 pub struct Requester {
     pool: Arc<str>,
     router: Arc<str>,
-    asked: BTreeMap<u64, Asked>,
+    pending: BTreeMap<u64, Pending>,
     held: BTreeMap<u64, Arc<str>>,
+    /// Releases with the number of sends left.
     releases: Vec<(Release, u32)>,
-    /// Asks that were given up, and when they were sent last.
-    given_up: VecDeque<(u64, Millis)>,
-    /// How long a message takes to the owner and back.
-    round: Option<Millis>,
-    named: Millis,
+    /// Claims without a reply in time, and when each was first sent.
+    expired: VecDeque<(u64, Millis)>,
+    /// Mean round-trip time to the owner.
+    round_trip: Option<Millis>,
+    renewed: Millis,
     silent_at: Option<Millis>,
+    /// Requests per millisecond that the pool completes.
     rate: f64,
-    /// When this router's own share has room again.
-    own_at: Millis,
+    /// When this router may next send a request without a permit.
+    next_send: Millis,
 }
 
 impl Requester {
-    /// A router named `router` that has asked nothing of `pool` yet.
+    /// Creates a requester for the router named `router`.
     pub fn new(pool: Arc<str>, router: Arc<str>) -> Self {
         Self {
             pool,
             router,
-            asked: BTreeMap::new(),
+            pending: BTreeMap::new(),
             held: BTreeMap::new(),
             releases: Vec::new(),
-            given_up: VecDeque::new(),
-            round: None,
-            named: Millis::ZERO,
+            expired: VecDeque::new(),
+            round_trip: None,
+            renewed: Millis::ZERO,
             silent_at: None,
             rate: 0.0,
-            own_at: Millis::ZERO,
+            next_send: Millis::ZERO,
         }
     }
 
-    /// The pool is short, as its owner says.
+    /// Takes the pool's rate from its owner's message.
     pub fn receive_saturation(&mut self, short: &Short) {
         self.rate = f64::from(short.rate) / 1_000_000.0;
     }
 
-    /// A request asks for a place.
+    /// Requests a permit.
     pub fn request(&mut self, claim: Claim, now: Millis) {
-        let asked = Asked { claim, came: now, first: now, sent: None, waits: false };
-        self.asked.insert(asked.claim.number, asked);
+        let pending =
+            Pending { claim, arrived: now, first_sent: now, last_sent: None, queued: false };
+        self.pending.insert(pending.claim.number, pending);
     }
 
-    /// The owner has decided. An ask that was given up is released if it was granted.
+    /// Handles the owner's verdict. A permit for a claim that is no longer pending is released.
     pub fn receive(&mut self, verdict: &Verdict, now: Millis) -> Option<Resolution> {
         self.silent_at = None;
-        let Some(asked) = self.asked.get_mut(&verdict.number) else {
-            self.learn_late(verdict.number, now);
+        let Some(pending) = self.pending.get_mut(&verdict.number) else {
+            self.record_late_reply(verdict.number, now);
             if let Turn::Granted(upstream) = &verdict.turn
                 && !self.held.contains_key(&verdict.number)
             {
-                self.give_back(verdict.number, upstream, Finish::Unused, Millis::ZERO);
+                self.push_release(verdict.number, upstream, Finish::Unused, Millis::ZERO);
             }
             return None;
         };
-        if asked.sent.take().is_some() && !asked.waits {
-            self.round = Some(learn(self.round, asked.first.until(now)));
+        if pending.last_sent.take().is_some() && !pending.queued {
+            self.round_trip = Some(smooth(self.round_trip, pending.first_sent.until(now)));
         }
         match &verdict.turn {
             Turn::Waits => {
-                asked.waits = true;
-                asked.sent = Some(now);
+                pending.queued = true;
+                pending.last_sent = Some(now);
                 None
             }
             Turn::Granted(upstream) => {
-                self.asked.remove(&verdict.number);
+                self.pending.remove(&verdict.number);
                 self.held.insert(verdict.number, upstream.clone());
                 Some(Resolution::Granted(upstream.clone()))
             }
             Turn::Refused(after) => {
-                self.asked.remove(&verdict.number);
+                self.pending.remove(&verdict.number);
                 Some(Resolution::Refused(u64::from(*after)))
             }
         }
     }
 
-    /// A permit is not needed any more, or an ask.
+    /// Releases a permit or withdraws a claim.
     pub fn release(&mut self, number: u64, end: Finish, took: Millis) {
         let upstream = self.held.remove(&number);
-        let asked = self.asked.remove(&number).is_some();
-        if upstream.is_some() || asked {
-            self.give_back(number, &upstream.unwrap_or_default(), end, took);
+        let pending = self.pending.remove(&number).is_some();
+        if upstream.is_some() || pending {
+            self.push_release(number, &upstream.unwrap_or_default(), end, took);
         }
     }
 
-    fn give_back(&mut self, number: u64, upstream: &Arc<str>, end: Finish, took: Millis) {
+    fn push_release(&mut self, number: u64, upstream: &Arc<str>, end: Finish, took: Millis) {
         let took_ms = u32::try_from(took.0).unwrap_or(u32::MAX);
         let release = Release { number, upstream: upstream.clone(), end, took_ms };
-        self.releases.push((release, TELLS));
+        self.releases.push((release, RELEASE_SENDS));
     }
 
-    /// Gives up asks that no owner answers; `routers` share the pool.
+    /// Withdraws claims that the owner has not decided in time, and decides them locally at this
+    /// router's part of the pool's rate, which `routers` share.
     pub fn expire(&mut self, routers: usize, now: Millis) -> Vec<(u64, Resolution)> {
-        let avoids = self.silent_at.is_some_and(|it| it.until(now) < AVOIDS);
-        let over = |it: &Asked| {
-            let objective = u64::from(it.claim.objective_ms);
-            let most = objective * MOST_PATIENCE / 100;
-            let round = self.round.map_or(Millis(most), |it| it + it);
-            let first = round.0.clamp(objective * PATIENCE / 100, most);
-            let patience = if it.waits { objective * WAITS / 100 } else { first };
-            let quiet = avoids && !it.waits && it.sent.is_some_and(|it| it.until(now) > round);
-            u64::from(it.claim.age_ms) + it.came.until(now).0 >= patience || quiet
+        let silent = self.silent_at.is_some_and(|at| at.until(now) < SILENCE_BACKOFF);
+        let is_due = |pending: &Pending| {
+            let objective = u64::from(pending.claim.objective_ms);
+            let max = objective * MAX_REPLY_WAIT_PERCENT / 100;
+            let round_trips = self.round_trip.map_or(Millis(max), |time| time + time);
+            let reply_wait = round_trips.0.clamp(objective * MIN_REPLY_WAIT_PERCENT / 100, max);
+            let wait =
+                if pending.queued { objective * QUEUED_WAIT_PERCENT / 100 } else { reply_wait };
+            let unanswered = silent
+                && !pending.queued
+                && pending.last_sent.is_some_and(|at| at.until(now) > round_trips);
+            u64::from(pending.claim.age_ms) + pending.arrived.until(now).0 >= wait || unanswered
         };
-        let late: Vec<u64> =
-            self.asked.iter().filter(|(_, it)| over(it)).map(|(number, _)| *number).collect();
-        late.into_iter().map(|it| (it, self.decide_alone(it, routers, now))).collect()
+        let due: Vec<u64> = self
+            .pending
+            .iter()
+            .filter(|(_, pending)| is_due(pending))
+            .map(|(number, _)| *number)
+            .collect();
+        due.into_iter().map(|number| (number, self.decide_locally(number, routers, now))).collect()
     }
 
-    /// A decision that came too late still says how long messages take.
-    fn learn_late(&mut self, number: u64, now: Millis) {
-        if let Some(place) = self.given_up.iter().position(|(it, _)| *it == number)
-            && let Some((_, sent)) = self.given_up.remove(place)
+    /// Measures the round trip of a reply to an expired claim.
+    fn record_late_reply(&mut self, number: u64, now: Millis) {
+        if let Some(index) = self.expired.iter().position(|(other, _)| *other == number)
+            && let Some((_, sent)) = self.expired.remove(index)
         {
-            self.round = Some(learn(self.round, sent.until(now)));
+            self.round_trip = Some(smooth(self.round_trip, sent.until(now)));
         }
     }
 
-    fn decide_alone(&mut self, number: u64, routers: usize, now: Millis) -> Resolution {
-        if let Some(sent) = self.asked.get(&number).filter(|it| !it.waits).map(|it| it.first) {
-            if self.silent_at.is_none_or(|it| it.until(now) >= AVOIDS) {
+    fn decide_locally(&mut self, number: u64, routers: usize, now: Millis) -> Resolution {
+        if let Some(sent) = self
+            .pending
+            .get(&number)
+            .filter(|pending| !pending.queued)
+            .map(|pending| pending.first_sent)
+        {
+            if self.silent_at.is_none_or(|at| at.until(now) >= SILENCE_BACKOFF) {
                 self.silent_at = Some(now);
             }
-            self.given_up.push_back((number, sent));
-            if self.given_up.len() > MOST_GIVEN_UP {
-                self.given_up.pop_front();
+            self.expired.push_back((number, sent));
+            if self.expired.len() > MAX_EXPIRED {
+                self.expired.pop_front();
             }
         }
         self.release(number, Finish::Unused, Millis::ZERO);
-        let parts = f64::from(u32::try_from(routers.max(1)).unwrap_or(u32::MAX));
+        let routers = f64::from(u32::try_from(routers.max(1)).unwrap_or(u32::MAX));
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "bounded")]
-        let gap = (parts / self.rate.max(LEAST_RATE)) as u64;
-        if self.own_at > now {
-            let after = Millis(now.until(self.own_at).0.clamp(LEAST_AFTER.0, LONGEST.0));
+        let interval = (routers / self.rate.max(MIN_RATE)) as u64;
+        if self.next_send > now {
+            let after = Millis(
+                now.until(self.next_send).0.clamp(MIN_RETRY_AFTER.0, MAX_RETRY_AFTER.0),
+            );
             return Resolution::Refused(after.0);
         }
-        self.own_at = now + Millis(gap);
+        self.next_send = now + Millis(interval);
         Resolution::Unanswered
     }
 
-    /// What the owner is to be told now.
+    /// Takes the messages that are due to the owner: claims that are new or unanswered,
+    /// releases, and renewals.
     pub fn take_claims(&mut self, now: Millis) -> Vec<Claims> {
-        let round = self.round.unwrap_or(AGAIN);
-        let again = round + round;
-        let mut asks = Vec::new();
-        for asked in self.asked.values_mut() {
-            let again = if asked.waits { again + NAMES } else { again };
-            if asked.sent.is_none_or(|it| it.until(now) >= again) {
-                if asked.sent.is_none() && !asked.waits {
-                    asked.first = now;
+        let round_trip = self.round_trip.unwrap_or(DEFAULT_ROUND_TRIP);
+        let resend_after = round_trip + round_trip;
+        let mut claims = Vec::new();
+        for pending in self.pending.values_mut() {
+            let resend_after =
+                if pending.queued { resend_after + RENEWAL_INTERVAL } else { resend_after };
+            if pending.last_sent.is_none_or(|at| at.until(now) >= resend_after) {
+                if pending.last_sent.is_none() && !pending.queued {
+                    pending.first_sent = now;
                 }
-                asked.sent = Some(now);
-                // What the way there and back takes is gone of its time.
-                let age = u64::from(asked.claim.age_ms) + asked.came.until(now).0 + round.0;
+                pending.last_sent = Some(now);
+                // Adds the round trip, as it is part of the time that the request waits.
+                let age =
+                    u64::from(pending.claim.age_ms) + pending.arrived.until(now).0 + round_trip.0;
                 let age_ms = u32::try_from(age).unwrap_or(u32::MAX);
-                asks.push(Claim { age_ms, ..asked.claim.clone() });
+                claims.push(Claim { age_ms, ..pending.claim.clone() });
             }
         }
-        let releases: Vec<_> = self.releases.iter().map(|(it, _)| it.clone()).collect();
-        let held = if self.named.until(now) >= NAMES { self.name(now) } else { Vec::new() };
-        for (_, left) in &mut self.releases {
-            *left -= 1;
+        let releases: Vec<_> = self.releases.iter().map(|(release, _)| release.clone()).collect();
+        let held = if self.renewed.until(now) >= RENEWAL_INTERVAL {
+            self.renew(now)
+        } else {
+            Vec::new()
+        };
+        for (_, sends) in &mut self.releases {
+            *sends -= 1;
         }
-        self.releases.retain(|(_, left)| *left > 0);
-        self.pack(asks, releases, held)
+        self.releases.retain(|(_, sends)| *sends > 0);
+        self.pack(claims, releases, held)
     }
 
-    /// Whether nothing is to be told soon.
+    /// Whether there is nothing to send.
     pub fn is_idle(&self) -> bool {
-        self.asked.is_empty() && self.held.is_empty() && self.releases.is_empty()
+        self.pending.is_empty() && self.held.is_empty() && self.releases.is_empty()
     }
 
-    fn name(&mut self, now: Millis) -> Vec<Held> {
-        self.named = now;
+    fn renew(&mut self, now: Millis) -> Vec<Held> {
+        self.renewed = now;
         let mut by_upstream: BTreeMap<&Arc<str>, Vec<u64>> = BTreeMap::new();
         for (number, upstream) in &self.held {
             by_upstream.entry(upstream).or_default().push(*number);
         }
-        let parts = by_upstream.into_iter().flat_map(|(upstream, numbers)| {
-            let part = |it: &[u64]| Held { upstream: upstream.clone(), numbers: it.to_vec() };
-            numbers.chunks(MOST * MOST).map(part).collect::<Vec<_>>()
+        let held = by_upstream.into_iter().flat_map(|(upstream, numbers)| {
+            let held =
+                |chunk: &[u64]| Held { upstream: upstream.clone(), numbers: chunk.to_vec() };
+            numbers.chunks(MAX_ENTRIES * MAX_ENTRIES).map(held).collect::<Vec<_>>()
         });
-        parts.collect()
+        held.collect()
     }
 
-    /// The messages, each of which fits a datagram.
-    fn pack(&self, asks: Vec<Claim>, releases: Vec<Release>, held: Vec<Held>) -> Vec<Claims> {
+    /// Splits entries into messages that fit a datagram.
+    fn pack(&self, claims: Vec<Claim>, releases: Vec<Release>, held: Vec<Held>) -> Vec<Claims> {
         let empty =
             || Claims { pool: self.pool.clone(), router: self.router.clone(), ..Claims::default() };
         let mut packed = Vec::new();
-        packed.extend(held.into_iter().map(|it| Claims { held: vec![it], ..empty() }));
-        let mut asks = asks.into_iter().peekable();
+        packed.extend(held.into_iter().map(|held| Claims { held: vec![held], ..empty() }));
+        let mut claims = claims.into_iter().peekable();
         let mut releases = releases.into_iter().peekable();
-        while asks.peek().is_some() || releases.peek().is_some() {
+        while claims.peek().is_some() || releases.peek().is_some() {
             packed.push(Claims {
-                asks: asks.by_ref().take(MOST / 2).collect(),
-                releases: releases.by_ref().take(MOST).collect(),
+                asks: claims.by_ref().take(MAX_ENTRIES / 2).collect(),
+                releases: releases.by_ref().take(MAX_ENTRIES).collect(),
                 ..empty()
             });
         }
@@ -272,8 +297,9 @@
     }
 }
 
-fn learn(round: Option<Millis>, took: Millis) -> Millis {
-    let took = took.0.min(LONGEST_ROUND.0);
-    let round = round.map_or(took, |it| (it.0 * 7 + took) / 8);
-    Millis(round).max(LEAST_AGAIN)
+/// Updates the moving average of round-trip times.
+fn smooth(mean: Option<Millis>, round_trip: Millis) -> Millis {
+    let round_trip = round_trip.0.min(MAX_ROUND_TRIP.0);
+    let mean = mean.map_or(round_trip, |mean| (mean.0 * 7 + round_trip) / 8);
+    Millis(mean).max(MIN_ROUND_TRIP)
 }
--- a/components/permits/src/retries.rs
+++ b/components/permits/src/retries.rs
@@ -1,37 +1,37 @@
-//! When callers that were refused are to come back.
+//! The times at which refused callers may retry.
 
 use std::collections::HashMap;
 
 use clock::Millis;
 
-/// The share of a pool's rate for callers that come back; the rest is for new ones.
-const SHARE: f64 = 0.25;
+/// The fraction of a pool's rate that is planned for retries; the rest is for new requests.
+const RETRY_RATIO: f64 = 0.25;
 
-/// The longest that a caller is told to stay away.
-pub(crate) const LONGEST: Millis = Millis(4_000);
+/// The longest time that a caller is asked to wait.
+pub(crate) const MAX_RETRY_AFTER: Millis = Millis(4_000);
 
-/// How long before its time a caller may be back, since clocks and ways differ.
-const EARLY: Millis = Millis(20);
+/// How much earlier than its time a retry may arrive, for clock and network differences.
+const EARLY_TOLERANCE: Millis = Millis(20);
 
-/// How long after its time a booking is kept.
-const KEPT: Millis = Millis(2_000);
+/// How long an unused retry time is kept.
+const RETENTION: Millis = Millis(2_000);
 
-/// The most bookings that are kept.
-const MOST: usize = 4_096;
+/// The largest number of retry times that are kept.
+const MAX_RETRIES: usize = 4_096;
 
-/// How a caller stands to the time that it was told.
+/// When a request arrives, relative to the retry time that its caller got.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timing {
-    /// It comes at its time.
+    /// A retry at its time.
     OnTime,
-    /// It was told none.
+    /// A request without a retry time.
     #[default]
     New,
-    /// It comes before its time.
+    /// A retry before its time.
     Early,
 }
 
-/// The times that callers were told.
+/// The retry times by fingerprint.
 #[derive(Clone, Debug, Default)]
 pub struct Retries {
     times: HashMap<u64, Millis>,
@@ -39,41 +39,48 @@
 }
 
 impl Retries {
-    /// Books a time for the caller with `content`, `soonest` from now at the earliest, in a pool
-    /// that answers `rate_per_ms`. Returns how long it is until then. A caller that comes
-    /// before its time keeps it.
-    pub fn book(&mut self, content: u64, soonest: Millis, rate_per_ms: f64, now: Millis) -> Millis {
-        if let Some(time) = self.times.get(&content).filter(|it| **it > now) {
+    /// Plans the retry of a refused request and returns the time left until then, at least
+    /// `soonest` for a new entry. Retries are spread by the rate of the pool. A request that
+    /// has a retry time keeps it.
+    pub fn schedule(
+        &mut self,
+        fingerprint: u64,
+        soonest: Millis,
+        rate_per_ms: f64,
+        now: Millis,
+    ) -> Millis {
+        if let Some(time) = self.times.get(&fingerprint).filter(|time| **time > now) {
             return now.until(*time);
         }
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "bounded")]
-        let gap = (1.0 / (SHARE * rate_per_ms).max(0.001)).min(1_000.0) as u64;
-        self.latest = (self.latest.max(now + soonest) + Millis(gap)).min(now + LONGEST);
-        if self.times.len() >= MOST {
-            self.times.retain(|_, it| *it + KEPT > now);
+        let gap = (1.0 / (RETRY_RATIO * rate_per_ms).max(0.001)).min(1_000.0) as u64;
+        self.latest =
+            (self.latest.max(now + soonest) + Millis(gap)).min(now + MAX_RETRY_AFTER);
+        if self.times.len() >= MAX_RETRIES {
+            self.times.retain(|_, time| *time + RETENTION > now);
         }
-        if self.times.len() < MOST {
-            self.times.insert(content, self.latest);
+        if self.times.len() < MAX_RETRIES {
+            self.times.insert(fingerprint, self.latest);
         }
         now.until(self.latest)
     }
 
-    /// How a caller stands that comes now; the booking of one that keeps its time is used up.
-    pub fn standing(&mut self, content: u64, now: Millis) -> Timing {
-        let Some(time) = self.times.get(&content).copied() else { return Timing::New };
-        if time > now + EARLY {
+    /// Classifies a request that arrives now. Its retry time is removed unless it is early.
+    pub fn record_arrival(&mut self, fingerprint: u64, now: Millis) -> Timing {
+        let Some(time) = self.times.get(&fingerprint).copied() else { return Timing::New };
+        if time > now + EARLY_TOLERANCE {
             return Timing::Early;
         }
-        self.times.remove(&content);
-        if time + KEPT > now { Timing::OnTime } else { Timing::New }
+        self.times.remove(&fingerprint);
+        if time + RETENTION > now { Timing::OnTime } else { Timing::New }
     }
 
-    /// How many are kept.
+    /// The number of retry times.
     pub fn len(&self) -> usize {
         self.times.len()
     }
 
-    /// Whether none is.
+    /// Whether there are no retry times.
     pub fn is_empty(&self) -> bool {
         self.times.is_empty()
     }
--- a/components/permits/src/settings.rs
+++ b/components/permits/src/settings.rs
@@ -1,22 +1,22 @@
-//! What an operator may set about places.
+//! Settings for permits.
 
 use serde::{Deserialize, Serialize};
 
-/// Whether requests wait for a place.
+/// Whether requests wait for a permit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Wait {
-    /// A request gets a place at once or is refused.
+    /// A request is granted at once or refused.
     None,
-    /// It waits for a part of its objective.
+    /// A request waits for part of its objective.
     #[default]
     Short,
 }
 
-/// What is set about places.
+/// The settings of an issuer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Whether requests wait for a place.
+    /// Whether requests wait for a permit.
     pub wait: Wait,
 }
