--- a/components/pace/src/lib.rs
+++ b/components/pace/src/lib.rs
@@ -1,73 +1,72 @@
-//! How fast upstreams are, in general and at the moment.
+//! Estimates how much slower than usual an upstream processes requests.
 //!
-//! The load pattern: upstreams of one pool differ in speed, and each is slower for moments,
-//! as others work on its host. Upstreams tell how long work takes them, as a percentage of the
-//! usual time; the figure changes many times a second, and a router hears it late. So what was
-//! told last counts for as long as a moment lasts and fades into what the upstream usually tells.
+//! Upstreams of one pool differ in speed, and each slows down briefly when other work runs on
+//! its host. Upstreams report the current processing time as a percentage of the usual one. The
+//! value changes many times per second and reaches a router late, so the latest report decays
+//! quickly toward the upstream's usual value.
 
 use clock::Millis;
 
-/// The percentage that an upstream tells when work takes as long as usual.
+/// The percentage that an upstream reports at its usual speed.
 pub const NOMINAL_PERCENT: u32 = 100;
 
-/// The least and the most that is believed, as percentages: what is beyond is no pace but a
-/// fault of the upstream, which the outcomes of its requests tell better.
-const LEAST: u32 = 20;
-const MOST: u32 = 1_000;
+/// The bounds to which reports are clamped. Values beyond them indicate a fault, which the
+/// outcomes of requests show more reliably.
+const MIN_PERCENT: u32 = 20;
+const MAX_PERCENT: u32 = 1_000;
 
-/// How much the latest figure counts in the usual one, if it is lower, and if it is higher: the
-/// usual pace is the one between the slow moments.
-const FASTER: f64 = 0.2;
-const SLOWER: f64 = 0.02;
+/// The weight of a report in the usual value if it is faster, and if it is slower. The usual
+/// value is the one between slow periods.
+const FASTER_WEIGHT: f64 = 0.2;
+const SLOWER_WEIGHT: f64 = 0.02;
 
-/// After how long a figure counts half beside the usual one, in milliseconds. A figure that
-/// changes many times a second says little of the next second.
+/// The half-life of the latest report, in milliseconds.
 const HALF_LIFE_MS: f64 = 200.0;
 
-/// The pace of one upstream, as one router knows it.
+/// The pace of one upstream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pace {
-    told: Option<Told>,
+    estimate: Option<Estimate>,
 }
 
+/// Processing times as multiples of the usual time.
 #[derive(Clone, Copy, Debug)]
-struct Told {
-    /// The pace between slow moments, as a multiple of the usual time.
+struct Estimate {
+    /// Between slow periods.
     usual: f64,
-    /// The latest figure, the same way, and when it was told.
+    /// In the latest report, and when it was made.
     latest: f64,
     at: Millis,
 }
 
 impl Pace {
-    /// Takes the percentage of the usual time that work took the upstream at `at`; one that was
-    /// told earlier than the latest says nothing.
+    /// Records a report that was made at `at`, as a percentage of the usual processing time.
+    /// Ignores it if a later one is known.
     pub fn record(&mut self, percent: u32, at: Millis) {
         let latest = multiple(percent);
-        let Some(known) = self.told else {
-            self.told = Some(Told { usual: latest, latest, at });
+        let Some(known) = self.estimate else {
+            self.estimate = Some(Estimate { usual: latest, latest, at });
             return;
         };
         if at < known.at {
             return;
         }
-        let part = if latest < known.usual { FASTER } else { SLOWER };
-        let usual = known.usual + part * (latest - known.usual);
-        self.told = Some(Told { usual, latest, at });
+        let weight = if latest < known.usual { FASTER_WEIGHT } else { SLOWER_WEIGHT };
+        let usual = known.usual + weight * (latest - known.usual);
+        self.estimate = Some(Estimate { usual, latest, at });
     }
 
-    /// How many times the usual time work is expected to take at `now`: 1 where nothing was
-    /// told.
+    /// The expected processing time at `now` as a multiple of the usual one, 1 without reports.
     pub fn factor(&self, now: Millis) -> f64 {
-        let Some(known) = self.told else { return 1.0 };
+        let Some(known) = self.estimate else { return 1.0 };
         #[expect(clippy::cast_precision_loss, reason = "ages stay far below 2^53")]
         let age = known.at.until(now).0 as f64;
-        let fresh = 0.5_f64.powf(age / HALF_LIFE_MS);
-        known.usual + fresh * (known.latest - known.usual)
+        let weight = 0.5_f64.powf(age / HALF_LIFE_MS);
+        known.usual + weight * (known.latest - known.usual)
     }
 
-    /// How long an answer takes to begin that would take `base_ms` at the usual pace without a
-    /// queue, and would wait for `wait_ms` beyond that: the time beyond `base_ms`.
+    /// The expected time to the start of an answer beyond `base_ms`. At the usual pace the
+    /// answer takes `base_ms` without a queue, and `wait_ms` more with the current queue.
     pub fn expected_wait_ms(&self, base_ms: f64, wait_ms: f64, now: Millis) -> f64 {
         let factor = self.factor(now);
         (factor * (base_ms + wait_ms) - base_ms).max(0.0)
@@ -75,5 +74,5 @@
 }
 
 fn multiple(percent: u32) -> f64 {
-    f64::from(percent.clamp(LEAST, MOST)) / f64::from(NOMINAL_PERCENT)
+    f64::from(percent.clamp(MIN_PERCENT, MAX_PERCENT)) / f64::from(NOMINAL_PERCENT)
 }
--- a/components/placement/src/bound.rs
+++ b/components/placement/src/bound.rs
@@ -2,47 +2,44 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What is known about a pool of upstreams that serve the same model.
+/// The load of a pool of upstreams that serve the same model.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pool {
-    /// The load of all members, in tokens.
+    /// The total load, in tokens.
     pub load: u64,
     /// The number of members that the load was summed over.
     pub members: u32,
 }
 
-/// The rule that decides whether one more request may run at an upstream.
+/// The limit on the load of an upstream relative to the mean of its pool.
 ///
-/// With a pool of `n` members that carry `L` tokens together, a request of
-/// weight `w` may join an upstream that carries `l` when
+/// In a pool of `n` members with a total load of `L` tokens, an upstream with load `l` admits a
+/// request of weight `w` if
 ///
 /// ```text
 /// l + w <= max(floor, c * (1 - margin) * (L + w) / n + extra)
 /// ```
 ///
-/// `L` is known with a lag. The `margin` is for what may end meanwhile, so that
-/// `c` holds against the pool as it is and not only as it was.
+/// `L` is known with a delay. The `margin` covers requests that end meanwhile, so that `c` also
+/// holds against the current load of the pool.
 ///
-/// `floor` stands in for the mean in a pool that is nearly idle, where one
-/// request is already many times the mean. An idle upstream (`l = 0`) may
-/// always take one request, whatever its weight.
+/// The `floor` applies in a nearly idle pool, where one request is many times the mean. An idle
+/// upstream (`l = 0`) admits any request.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bound {
-    /// `c`: the set multiple of the mean.
+    /// `c`: the multiple of the mean load.
     pub multiple: f64,
     /// `floor`, in tokens.
     pub floor: u64,
-    /// `margin`: the share of the multiple that is kept back, below one.
+    /// `margin`: the fraction by which the multiple is reduced, below one.
     #[serde(default = "default_margin")]
     pub margin: f64,
-    /// `extra`: what an upstream may carry beyond the multiple, in the unit of
-    /// the weights.
+    /// `extra`: the load allowed beyond the multiple, in the unit of the weights.
     #[serde(default)]
     pub extra: u64,
 }
 
-/// The margin that kept the multiple in the experiment on a tenfold surge.
 const DEFAULT_MARGIN: f64 = 0.1;
 
 fn default_margin() -> f64 {
@@ -56,7 +53,7 @@
 }
 
 impl Bound {
-    /// The most that an upstream may carry, the request of `weight` included.
+    /// The largest load of an upstream, including a new request of `weight`.
     pub fn ceiling(&self, pool: Pool, weight: u64) -> u64 {
         let members = f64::from(pool.members.max(1));
         #[expect(
@@ -70,7 +67,7 @@
         share.saturating_add(self.extra).max(self.floor)
     }
 
-    /// Whether an upstream that carries `load` may take `weight` more.
+    /// Whether an upstream with `load` admits a request of `weight`.
     pub fn admits(&self, load: u64, weight: u64, pool: Pool) -> bool {
         load == 0 || load + weight <= self.ceiling(pool, weight)
     }
--- a/components/placement/src/lib.rs
+++ b/components/placement/src/lib.rs
@@ -1,8 +1,8 @@
 //! Ranking of upstreams and the load bound.
 //!
-//! [`rank`] orders candidates by weighted rendezvous hashing, so that routers
-//! agree without talking and a change of membership moves few chats.
-//! [`Bound`] is the rule that keeps an upstream near its pool's mean.
+//! [`rank`] orders candidates by weighted rendezvous hashing: routers agree without
+//! communication, and a change of membership moves few chats. [`Bound`] limits the load of an
+//! upstream relative to its pool's mean.
 
 mod bound;
 mod rendezvous;
--- a/components/placement/src/rendezvous.rs
+++ b/components/placement/src/rendezvous.rs
@@ -2,20 +2,20 @@
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Two to the power of 53: the number of steps a `f64` keeps exactly below one.
+/// 2^53, the number of equidistant `f64` values in the unit interval.
 const STEPS: f64 = 9_007_199_254_740_992.0;
 
-/// The hash of a routing key made of a workspace and a chat.
+/// Hashes a workspace and a chat to a routing key.
 pub fn key(workspace: &str, chat: &str) -> u64 {
     xxh3_64_with_seed(chat.as_bytes(), xxh3_64(workspace.as_bytes()))
 }
 
-/// The hash of `parts` in this order, the same in every process.
+/// Hashes `parts` in order. The result is the same in every process.
 pub fn digest(parts: &[&[u8]]) -> u64 {
     parts.iter().fold(0, |before, part| xxh3_64_with_seed(part, before))
 }
 
-/// The score of `upstream` for `key`; the highest score is ranked first.
+/// Returns the score of `upstream` for `key`. The highest score is ranked first.
 ///
 /// `weight` is the upstream's relative capacity and must be above zero.
 pub fn score(key: u64, upstream: &str, weight: f64) -> f64 {
@@ -25,7 +25,8 @@
     -weight / unit.ln()
 }
 
-/// Sorts `candidates` by descending score, ties by name.
+/// Sorts `candidates` by descending score, then by name. `name` returns the name and weight of a
+/// candidate.
 pub fn rank<T>(key: u64, candidates: &mut [T], name: impl Fn(&T) -> (&str, f64)) {
     candidates.sort_by_cached_key(|candidate| {
         let (upstream, weight) = name(candidate);
@@ -34,12 +35,11 @@
     });
 }
 
-/// The `most` candidates with the highest scores, the highest first, ties by
-/// name: the head of what [`rank`] gives, without sorting the rest.
+/// Returns the first `count` candidates in the order of [`rank`], without sorting the rest.
 pub fn top<T>(
     key: u64,
     candidates: impl Iterator<Item = T>,
-    most: usize,
+    count: usize,
     name: impl Fn(&T) -> (&str, f64),
 ) -> Vec<T> {
     let scored = candidates.map(|candidate| {
@@ -50,10 +50,10 @@
     let order = |(one, first): &(f64, T), (other, second): &(f64, T)| {
         other.total_cmp(one).then_with(|| name(first).0.cmp(name(second).0))
     };
-    if scored.len() > most && most > 0 {
-        scored.select_nth_unstable_by(most - 1, order);
+    if scored.len() > count && count > 0 {
+        scored.select_nth_unstable_by(count - 1, order);
     }
-    scored.truncate(most);
+    scored.truncate(count);
     scored.sort_unstable_by(order);
     scored.into_iter().map(|(_, candidate)| candidate).collect()
 }
--- a/components/shares/src/count.rs
+++ b/components/shares/src/count.rs
@@ -1,38 +1,38 @@
-//! Requests that were asked for and that were sent, as they count at one time.
+//! A decaying counter of requests.
 
 use clock::Millis;
 
-/// After how long a request counts half, in milliseconds: as for waits, so that shares and
-/// waits tell of the same load.
+/// The half-life of a counted request, in milliseconds. The same as for wait estimates, so that
+/// shares and waits describe the same load.
 const HALF_LIFE_MS: f64 = 2_000.0;
 
-/// Requests that fade.
+/// Requested and served requests, as decaying sums.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Count {
-    pub asked: f64,
+pub(crate) struct Counter {
+    pub requested: f64,
     pub served: f64,
     at: Millis,
 }
 
-impl Count {
-    /// What counts of it at `now`.
+impl Counter {
+    /// The counter as of `now`.
     pub(crate) fn at(self, now: Millis) -> Self {
-        let kept = kept(self.at.until(now));
-        Self { asked: self.asked * kept, served: self.served * kept, at: now }
+        let factor = decay(self.at.until(now));
+        Self { requested: self.requested * factor, served: self.served * factor, at: now }
     }
 
-    /// What was wanted: at least what was sent, as repeats are asked for once.
+    /// The demand in requests. At least what was served, as retries are not counted as requested.
     pub(crate) fn demand(self) -> f64 {
-        self.asked.max(self.served)
+        self.requested.max(self.served)
     }
 }
 
-/// The part of a request that counts `age` after it came.
-pub(crate) fn kept(age: Millis) -> f64 {
+/// The factor by which a count decays in `age`.
+pub(crate) fn decay(age: Millis) -> f64 {
     0.5_f64.powf(ms(age) / HALF_LIFE_MS)
 }
 
-#[expect(clippy::cast_precision_loss, reason = "ages are small beside 2^53")]
+#[expect(clippy::cast_precision_loss, reason = "ages are far below 2^53")]
 fn ms(time: Millis) -> f64 {
     time.0 as f64
 }
--- a/components/shares/src/fill.rs
+++ b/components/shares/src/fill.rs
@@ -1,32 +1,33 @@
-//! Max-min shares: room is filled up evenly, and who wants less gets what it wants.
+//! Max-min fair allocation.
 
-/// So many workspaces that want as much each.
+/// Workspaces with equal demand and weight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Group {
-    /// What each of them wants, in requests.
+    /// The demand of each workspace, in requests.
     pub demand: f64,
-    /// What each of them counts.
+    /// The weight of each workspace.
     pub weight: f64,
-    /// How many they are.
+    /// The number of workspaces.
     pub count: f64,
 }
 
-/// The level up to which each of `claims` is served where `room` is shared out: each gets what
-/// it wants, or its weight times the level if that is less. Infinite where all are served.
-pub fn max_min_level(claims: &mut [Group], room: f64) -> f64 {
-    let want = |it: &Group| it.demand / it.weight;
-    claims.sort_by(|one, other| want(one).total_cmp(&want(other)));
-    let mut weight: f64 = claims.iter().map(|it| it.weight * it.count).sum();
-    let mut left = room.max(0.0);
-    for claim in claims.iter() {
+/// Allocates `capacity` to `groups` and returns the level up to which demands are met: each
+/// workspace gets its demand, or its weight times the level if that is less. Infinite if all
+/// demands are met.
+pub fn max_min_level(groups: &mut [Group], capacity: f64) -> f64 {
+    let full = |group: &Group| group.demand / group.weight;
+    groups.sort_by(|one, other| full(one).total_cmp(&full(other)));
+    let mut weight: f64 = groups.iter().map(|group| group.weight * group.count).sum();
+    let mut left = capacity.max(0.0);
+    for group in groups.iter() {
         if weight <= 0.0 {
             break;
         }
-        if want(claim) > left / weight {
+        if full(group) > left / weight {
             return left / weight;
         }
-        left = (left - claim.demand * claim.count).max(0.0);
-        weight -= claim.weight * claim.count;
+        left = (left - group.demand * group.count).max(0.0);
+        weight -= group.weight * group.count;
     }
     f64::INFINITY
 }
--- a/components/shares/src/ledger.rs
+++ b/components/shares/src/ledger.rs
@@ -1,119 +1,125 @@
-//! What this router itself was asked for and has sent, by workspace and priority.
+//! The requests that this router received and sent, by workspace and priority.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use clock::Millis;
 
-use crate::count::Count;
+use crate::count::Counter;
 use crate::summary::{Demand, MAX_DEMANDS, Remainder, tenths};
 
-/// The most lines that are kept. Beyond it the smallest are dropped.
-const MOST: usize = 8_192;
+/// The largest number of counters. The smaller half is dropped when it is reached.
+const MAX_COUNTERS: usize = 8_192;
 
-/// What is left of a line when it is forgotten, in requests.
-const FADED: f64 = 0.01;
+/// The demand below which a counter is ignored, in requests.
+const MIN_DEMAND: f64 = 0.01;
 
-/// How many refusals are remembered by their content, and for how long: callers come back
-/// within a few seconds or not at all.
-const MOST_REFUSED: usize = 4_096;
-const REFUSED_LASTS: Millis = Millis(6_000);
+/// How many refusals are kept by fingerprint, and for how long. Callers usually retry within a
+/// few seconds.
+const MAX_REFUSED: usize = 4_096;
+const REFUSED_TTL: Millis = Millis(6_000);
 
-/// The own demand.
+/// Counters of this router's own requests.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Ledger {
-    lines: BTreeMap<(u64, i32), Count>,
+    counters: BTreeMap<(u64, i32), Counter>,
     refused: BTreeMap<u64, Millis>,
-    /// The same, the oldest first.
+    /// The refusals, oldest first.
     order: VecDeque<(Millis, u64)>,
 }
 
 impl Ledger {
-    /// Takes that a workspace asked for `content`; once for work that was refused and comes
-    /// back.
-    pub(crate) fn record_request(&mut self, workspace: u64, priority: i32, content: u64, now: Millis) {
-        self.forget(now);
-        if self.refused.remove(&content).is_some() {
+    /// Counts a request of a workspace, unless it is the retry of a refused one.
+    pub(crate) fn record_request(
+        &mut self,
+        workspace: u64,
+        priority: i32,
+        fingerprint: u64,
+        now: Millis,
+    ) {
+        self.expire(now);
+        if self.refused.remove(&fingerprint).is_some() {
             return;
         }
-        self.line(workspace, priority, now).asked += 1.0;
+        self.counter(workspace, priority, now).requested += 1.0;
     }
 
-    /// Takes that a request of a workspace was sent.
+    /// Counts a request that was sent to the pool.
     pub(crate) fn record_sent(&mut self, workspace: u64, priority: i32, now: Millis) {
-        self.line(workspace, priority, now).served += 1.0;
+        self.counter(workspace, priority, now).served += 1.0;
     }
 
-    /// Takes that `content` was refused: it may come back.
-    pub(crate) fn record_refusal(&mut self, content: u64, now: Millis) {
-        self.forget(now);
-        self.refused.insert(content, now);
-        self.order.push_back((now, content));
+    /// Records a refusal, so that the retry is not counted.
+    pub(crate) fn record_refusal(&mut self, fingerprint: u64, now: Millis) {
+        self.expire(now);
+        self.refused.insert(fingerprint, now);
+        self.order.push_back((now, fingerprint));
     }
 
-    /// All lines as they count at `now`.
-    pub(crate) fn lines(&self, now: Millis) -> impl Iterator<Item = (u64, i32, Count)> {
-        let faded = move |(key, count): (&(u64, i32), &Count)| (key.0, key.1, count.at(now));
-        self.lines.iter().map(faded).filter(|it| it.2.demand() > FADED)
+    /// Iterates over workspace, priority and counter as of `now`.
+    pub(crate) fn iter(&self, now: Millis) -> impl Iterator<Item = (u64, i32, Counter)> {
+        let decayed =
+            move |(key, counter): (&(u64, i32), &Counter)| (key.0, key.1, counter.at(now));
+        self.counters.iter().map(decayed).filter(|entry| entry.2.demand() > MIN_DEMAND)
     }
 
-    /// The largest workspaces, and the others as a sum.
+    /// Returns the largest workspaces, and the sum of the others.
     pub(crate) fn summarize(&self, now: Millis) -> (Vec<Demand>, Remainder) {
-        let mut workspaces: BTreeMap<u64, (f64, Vec<Demand>, Count)> = BTreeMap::new();
-        for (workspace, priority, count) in self.lines(now) {
-            let (demand, lines, all) = workspaces.entry(workspace).or_default();
-            *demand += count.demand();
-            all.asked += count.demand();
-            all.served += count.served;
-            let (asked, served) = (tenths(count.demand()), tenths(count.served));
-            lines.push(Demand { workspace, priority, requested: asked, served });
+        let mut workspaces: BTreeMap<u64, (f64, Vec<Demand>, Counter)> = BTreeMap::new();
+        for (workspace, priority, counter) in self.iter(now) {
+            let (demand, demands, total) = workspaces.entry(workspace).or_default();
+            *demand += counter.demand();
+            total.requested += counter.demand();
+            total.served += counter.served;
+            let (requested, served) = (tenths(counter.demand()), tenths(counter.served));
+            demands.push(Demand { workspace, priority, requested, served });
         }
         let mut workspaces: Vec<_> = workspaces.into_values().collect();
         workspaces.sort_by(|one, other| other.0.total_cmp(&one.0));
-        let (mut told, mut rest, mut more) = (Vec::new(), Count::default(), 0);
-        for (_, lines, all) in workspaces {
-            if more == 0 && told.len() + lines.len() <= MAX_DEMANDS {
-                told.extend(lines);
+        let (mut listed, mut rest, mut count) = (Vec::new(), Counter::default(), 0);
+        for (_, demands, total) in workspaces {
+            if count == 0 && listed.len() + demands.len() <= MAX_DEMANDS {
+                listed.extend(demands);
                 continue;
             }
-            more += 1;
-            rest.asked += all.asked;
-            rest.served += all.served;
+            count += 1;
+            rest.requested += total.requested;
+            rest.served += total.served;
         }
-        let (asked, served) = (tenths(rest.asked), tenths(rest.served));
-        (told, Remainder { workspaces: more, requested: asked, served })
+        let (requested, served) = (tenths(rest.requested), tenths(rest.served));
+        (listed, Remainder { workspaces: count, requested, served })
     }
 
-    /// The line of a workspace, as of `now`.
-    fn line(&mut self, workspace: u64, priority: i32, now: Millis) -> &mut Count {
+    /// Returns the counter of a workspace, decayed to `now`.
+    fn counter(&mut self, workspace: u64, priority: i32, now: Millis) -> &mut Counter {
         let key = (workspace, priority);
-        if self.lines.len() >= MOST && !self.lines.contains_key(&key) {
-            self.drop_small(now);
+        if self.counters.len() >= MAX_COUNTERS && !self.counters.contains_key(&key) {
+            self.drop_smallest(now);
         }
-        let line = self.lines.entry(key).or_default();
-        *line = line.at(now);
-        line
+        let counter = self.counters.entry(key).or_default();
+        *counter = counter.at(now);
+        counter
     }
 
-    /// Drops the smaller half.
-    fn drop_small(&mut self, now: Millis) {
+    /// Drops the half of the counters with the smallest demand.
+    fn drop_smallest(&mut self, now: Millis) {
         let mut sizes: Vec<_> =
-            self.lines.iter().map(|(key, it)| (it.at(now).demand(), *key)).collect();
+            self.counters.iter().map(|(key, counter)| (counter.at(now).demand(), *key)).collect();
         sizes.sort_by(|one, other| one.0.total_cmp(&other.0));
         for (_, key) in &sizes[..sizes.len() / 2] {
-            self.lines.remove(key);
+            self.counters.remove(key);
         }
     }
 
-    /// Forgets refusals whose callers have not come back.
-    fn forget(&mut self, now: Millis) {
-        while let Some((at, content)) = self.order.front().copied() {
-            if self.order.len() < MOST_REFUSED && at.until(now) < REFUSED_LASTS {
+    /// Drops refusals beyond their time or number.
+    fn expire(&mut self, now: Millis) {
+        while let Some((at, fingerprint)) = self.order.front().copied() {
+            if self.order.len() < MAX_REFUSED && at.until(now) < REFUSED_TTL {
                 return;
             }
             self.order.pop_front();
-            // It may have been refused again since.
-            if self.refused.get(&content) == Some(&at) {
-                self.refused.remove(&content);
+            // Keeps the entry if the request was refused again later.
+            if self.refused.get(&fingerprint) == Some(&at) {
+                self.refused.remove(&fingerprint);
             }
         }
     }
--- a/components/shares/src/lib.rs
+++ b/components/shares/src/lib.rs
@@ -1,21 +1,20 @@
-//! Fair shares of what a pool of upstreams serves, by workspace.
+//! Fair shares of the capacity of a pool of upstreams, by workspace.
 //!
-//! A [`Pool`] is told what is asked of the pool and what is sent to it, by this router exactly
-//! and by other routers as far as one [`Summary`] of each holds it. From that it works out
-//! max-min shares of what the pool serves ([`max_min_level`]), and says of a workspace whether it is
-//! below its share, at it or over it ([`Standing`]). It decides nothing: who is refused, and
-//! when, is the reducer's matter.
+//! A [`Pool`] counts the requests that this router received and sent, and receives a
+//! [`Summary`] of the same counts from each other router. From these it computes max-min fair
+//! shares of the requests that the pool serves ([`max_min_level`]) and the [`Standing`] of a
+//! workspace relative to its share. It refuses nothing itself.
 //!
-//! The unit is the request, as for waits. Sums of requests fade, and stand for rates: those of
-//! one pool fade alike, so that only their proportions count.
+//! The unit is the request. Counts decay and stand for rates: all counts of a pool decay alike,
+//! so only their proportions matter.
 
 mod count;
 mod fill;
 mod ledger;
 mod pool;
 mod standing;
-mod view;
 mod summary;
+mod view;
 
 pub use fill::{Group, max_min_level};
 pub use pool::Pool;
--- a/components/shares/src/pool.rs
+++ b/components/shares/src/pool.rs
@@ -1,4 +1,4 @@
-//! One pool of upstreams, as one router sees it.
+//! The demand on a pool of upstreams, as one router knows it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,117 +7,122 @@
 
 use crate::ledger::Ledger;
 use crate::standing::Standing;
-use crate::view::View;
 use crate::summary::{MAX_DEMANDS, Summary};
+use crate::view::View;
 
-/// For how long a pool is taken to be short after a sign of it.
-const SHORT_LASTS: Millis = Millis(2_000);
+/// How long a pool counts as saturated after the last sign of it.
+const SATURATED_TTL: Millis = Millis(2_000);
 
-/// For how long others are taken to lack room after one of them was refused: two tellings.
-const LACKS_LASTS: Millis = Millis(800);
+/// How long workspaces count as starving after one was refused. Covers two summary intervals.
+const STARVING_TTL: Millis = Millis(800);
 
-/// For how long a router's word counts after which nothing more came: a few tellings.
-const WORD_LASTS: Millis = Millis(2_000);
+/// How long a router's last summary is valid. Covers several summary intervals.
+const SUMMARY_TTL: Millis = Millis(2_000);
 
-/// How old the view may be that requests are judged by, in milliseconds.
-const VIEW_LASTS: Millis = Millis(100);
+/// How long a computed view is reused.
+const VIEW_TTL: Millis = Millis(100);
 
-/// The most routers whose words are kept.
-const MOST_ROUTERS: usize = 1_024;
+/// The largest number of routers whose summaries are kept.
+const MAX_ROUTERS: usize = 1_024;
 
-/// What is asked of a pool, and the shares that follow.
+/// The demand on a pool and the resulting shares.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
     own: Ledger,
-    /// The latest word of each other router, and when it came.
-    words: BTreeMap<Arc<str>, (Millis, Summary)>,
+    /// The latest summary of each other router, with the time it was received.
+    summaries: BTreeMap<Arc<str>, (Millis, Summary)>,
     view: Option<View>,
-    /// Until when the pool is short by what this router has seen, and by what others told.
-    short: Millis,
-    told_short: Millis,
-    /// The same for workspaces that lack room though they are not over their shares.
-    lacks: Millis,
-    told_lacks: Millis,
+    /// Until when the pool counts as saturated, as observed here and as reported by others.
+    saturated_until: Millis,
+    reported_saturated_until: Millis,
+    /// The same for workspaces within their shares that are refused.
+    starving_until: Millis,
+    reported_starving_until: Millis,
 }
 
 impl Pool {
-    /// Takes that a workspace asked for the work whose hash is `content`.
-    pub fn record_request(&mut self, workspace: u64, priority: i32, content: u64, now: Millis) {
-        self.own.record_request(workspace, priority, content, now);
+    /// Counts a request of a workspace; `fingerprint` identifies retries.
+    pub fn record_request(
+        &mut self,
+        workspace: u64,
+        priority: i32,
+        fingerprint: u64,
+        now: Millis,
+    ) {
+        self.own.record_request(workspace, priority, fingerprint, now);
     }
 
-    /// Takes that a request of a workspace was sent to the pool.
+    /// Counts a request that was sent to the pool.
     pub fn record_sent(&mut self, workspace: u64, priority: i32, now: Millis) {
         self.own.record_sent(workspace, priority, now);
     }
 
-    /// Takes that work was refused for lack of room: the pool is short, and the work may be
-    /// asked for again.
-    pub fn record_refusal(&mut self, content: u64, now: Millis) {
-        self.own.record_refusal(content, now);
+    /// Records a refusal for lack of capacity, which marks the pool as saturated.
+    pub fn record_refusal(&mut self, fingerprint: u64, now: Millis) {
+        self.own.record_refusal(fingerprint, now);
         self.mark_saturated(now);
     }
 
-    /// Takes that work was refused for the sake of others, which is no sign that the pool is
-    /// short: it would keep itself short.
-    pub fn record_deferral(&mut self, content: u64, now: Millis) {
-        self.own.record_refusal(content, now);
+    /// Records a refusal in favor of other workspaces. It does not mark the pool as saturated,
+    /// as that would prolong the saturation by itself.
+    pub fn record_deferral(&mut self, fingerprint: u64, now: Millis) {
+        self.own.record_refusal(fingerprint, now);
     }
 
-    /// Takes a sign that the pool is short.
+    /// Records a sign that the pool is saturated.
     pub fn mark_saturated(&mut self, now: Millis) {
-        self.short = now + SHORT_LASTS;
+        self.saturated_until = now + SATURATED_TTL;
     }
 
-    /// Takes that a workspace was refused that is not over its share.
+    /// Records that a workspace within its share was refused.
     pub fn mark_starving(&mut self, now: Millis) {
-        self.lacks = now + LACKS_LASTS;
+        self.starving_until = now + STARVING_TTL;
     }
 
-    /// Whether workspaces lack room that are not over their shares, at this router or at others.
+    /// Whether workspaces within their shares are refused, at this router or at others.
     pub fn is_starving(&self, now: Millis) -> bool {
-        now < self.lacks.max(self.told_lacks)
+        now < self.starving_until.max(self.reported_starving_until)
     }
 
-    /// Whether the pool is short, by this router's own signs or by those of others.
+    /// Whether the pool is saturated, as observed here or reported by other routers.
     pub fn is_saturated(&self, now: Millis) -> bool {
-        now < self.short.max(self.told_short)
+        now < self.saturated_until.max(self.reported_saturated_until)
     }
 
-    /// Takes the word of another router, unless a later one has come.
-    pub fn receive(&mut self, router: &Arc<str>, mut word: Summary, now: Millis) {
-        self.forget(now);
-        if self.words.get(router).is_some_and(|(_, known)| known.at >= word.at) {
+    /// Stores the summary of another router unless a later one is known.
+    pub fn receive(&mut self, router: &Arc<str>, mut summary: Summary, now: Millis) {
+        self.expire(now);
+        if self.summaries.get(router).is_some_and(|(_, known)| known.at >= summary.at) {
             return;
         }
-        if self.words.len() >= MOST_ROUTERS && !self.words.contains_key(router) {
+        if self.summaries.len() >= MAX_ROUTERS && !self.summaries.contains_key(router) {
             return;
         }
-        if word.saturated {
-            self.told_short = now + SHORT_LASTS;
+        if summary.saturated {
+            self.reported_saturated_until = now + SATURATED_TTL;
         }
-        if word.starving {
-            self.told_lacks = now + LACKS_LASTS;
+        if summary.starving {
+            self.reported_starving_until = now + STARVING_TTL;
         }
-        word.demands.truncate(MAX_DEMANDS);
-        self.words.insert(router.clone(), (now, word));
+        summary.demands.truncate(MAX_DEMANDS);
+        self.summaries.insert(router.clone(), (now, summary));
     }
 
-    /// The own word for other routers; none unless the pool is short.
+    /// Returns this router's summary for the others; `None` unless the pool is saturated.
     ///
-    /// What others told of a shortage is not handed on as an own sign: routers would keep each
-    /// other short.
+    /// Saturation that others reported is not passed on, as routers would keep each other
+    /// saturated.
     pub fn summarize(&self, now: Millis) -> Option<Summary> {
         if !self.is_saturated(now) {
             return None;
         }
-        let (lines, rest) = self.own.summarize(now);
-        let (short, lacks) = (now < self.short, now < self.lacks);
-        Some(Summary { at: now, saturated: short, starving: lacks, demands: lines, remainder: rest })
+        let (demands, remainder) = self.own.summarize(now);
+        let (saturated, starving) = (now < self.saturated_until, now < self.starving_until);
+        Some(Summary { at: now, saturated, starving, demands, remainder })
     }
 
-    /// How a workspace stands for requests of `priority`; `weight` is what each workspace
-    /// counts, all above zero.
+    /// Returns the standing of a workspace for requests of `priority`. `weight` maps a workspace
+    /// to its weight, which must be positive.
     pub fn standing(
         &mut self,
         workspace: u64,
@@ -129,37 +134,42 @@
         self.view(weight, now).standing(workspace, priority, own)
     }
 
-    /// The `most` workspaces with the largest demand, the largest first, and how they stand for
-    /// all that they want.
+    /// Returns the `count` workspaces with the largest demand, largest first, with their
+    /// standings at all priorities.
     pub fn largest(
         &self,
-        most: usize,
+        count: usize,
         weight: impl Fn(u64) -> f64,
         now: Millis,
     ) -> Vec<(u64, Standing)> {
-        let view = self.view_now(&weight, now);
-        let standing = |it: &u64| (*it, view.standing(*it, i32::MAX, weight(*it)));
-        let mut all: Vec<_> = view.held.keys().map(standing).collect();
+        let view = self.new_view(&weight, now);
+        let standing =
+            |name: &u64| (*name, view.standing(*name, i32::MAX, weight(*name)));
+        let mut all: Vec<_> = view.workspaces.keys().map(standing).collect();
         all.sort_by(|one, other| other.1.demand.total_cmp(&one.1.demand));
-        all.truncate(most);
+        all.truncate(count);
         all
     }
 
-    /// The view that requests are judged by, worked out anew if it is too old.
+    /// Returns the cached view, or a new one if it is too old.
     fn view(&mut self, weight: impl Fn(u64) -> f64, now: Millis) -> &View {
-        let known = self.view.take().filter(|it| it.at.until(now) < VIEW_LASTS);
-        let view = known.unwrap_or_else(|| self.view_now(weight, now));
+        let cached = self.view.take().filter(|view| view.at.until(now) < VIEW_TTL);
+        let view = cached.unwrap_or_else(|| self.new_view(weight, now));
         self.view.insert(view)
     }
 
-    fn view_now(&self, weight: impl Fn(u64) -> f64, now: Millis) -> View {
-        let counts = |it: &&(Millis, Summary)| it.0.until(now) < WORD_LASTS;
-        let words = self.words.values().filter(counts).map(|it| (it.0.until(now), &it.1));
-        View::new(self.own.lines(now), words, weight, now)
+    fn new_view(&self, weight: impl Fn(u64) -> f64, now: Millis) -> View {
+        let is_valid = |entry: &&(Millis, Summary)| entry.0.until(now) < SUMMARY_TTL;
+        let summaries = self
+            .summaries
+            .values()
+            .filter(is_valid)
+            .map(|entry| (entry.0.until(now), &entry.1));
+        View::new(self.own.iter(now), summaries, weight, now)
     }
 
-    /// Forgets words of routers that say nothing more.
-    fn forget(&mut self, now: Millis) {
-        self.words.retain(|_, (at, _)| at.until(now) < WORD_LASTS);
+    /// Drops summaries that are no longer valid.
+    fn expire(&mut self, now: Millis) {
+        self.summaries.retain(|_, (at, _)| at.until(now) < SUMMARY_TTL);
     }
 }
--- a/components/shares/src/standing.rs
+++ b/components/shares/src/standing.rs
@@ -1,43 +1,42 @@
-//! How a workspace stands to its share.
+//! How a workspace's demand compares to its share.
 
 use clock::Millis;
 use serde::Serialize;
 
-/// The part of its requests that a workspace may send however far it is over its share.
-const LEAST: f64 = 0.4;
+/// The smallest fraction of its requests that a workspace may send.
+const MIN_ADMITTED_RATIO: f64 = 0.4;
 
-/// A workspace in a pool, for requests of one priority.
+/// A workspace's demand and share in a pool, for requests of one priority.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Standing {
-    /// Whether it is over its share.
+    /// Whether the workspace is over its share.
     pub rank: Rank,
-    /// What it wants at this priority and at more urgent ones, in requests that fade.
+    /// Its demand at this and more urgent priorities, as a decaying count of requests.
     pub demand: f64,
-    /// What of all its requests was sent.
+    /// Its requests sent to the pool, at all priorities.
     pub served: f64,
-    /// Its share of what the pool serves.
+    /// Its share of the requests that the pool serves.
     pub share: f64,
-    /// The age of the oldest word of another router that counts, in milliseconds; none if no
-    /// other router has told anything.
+    /// The age of the oldest summary in use, in milliseconds; `None` without summaries.
     pub age_ms: Option<u64>,
 }
 
-/// Where a workspace is beside its share.
+/// The demand of a workspace relative to its share.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rank {
-    /// All that it wants is within its share.
+    /// The demand is within the share.
     Below,
-    /// It wants more, and so do the others: it gives way to nobody.
+    /// The demand exceeds the share, and the other workspaces are no better off.
     #[default]
     At,
-    /// Its share holds less of what it wants than the shares of all others do of what they want,
-    /// by so many times.
+    /// The share covers a smaller part of the demand than the shares of the other workspaces do,
+    /// by this ratio.
     Over(f64),
 }
 
 impl Rank {
-    /// Its name, for logs and metrics.
+    /// The name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Below => "below",
@@ -46,29 +45,29 @@
         }
     }
 
-    /// How many times it is over; 1 if it isn't.
+    /// The ratio by which the workspace is over its share, 1 if it is not.
     pub fn excess_ratio(self) -> f64 {
         match self {
-            Self::Over(times) => times.max(1.0),
+            Self::Over(ratio) => ratio.max(1.0),
             Self::Below | Self::At => 1.0,
         }
     }
 }
 
 impl Standing {
-    /// The part of its requests that it may send, where waits allow it: less than 1 only while
-    /// it has been served beyond its share, that is while others lack some of theirs. It gives
-    /// that back `times` times, so that the others have theirs within a burst and not after it.
-    pub fn admitted_ratio(&self, times: f64) -> f64 {
+    /// The fraction of its requests that the workspace may send if waits permit. Below 1 only
+    /// while it is served beyond its share. The excess is reduced by `factor` times, so that the
+    /// other workspaces get their shares while the burst lasts.
+    pub fn admitted_ratio(&self, factor: f64) -> f64 {
         if !matches!(self.rank, Rank::Over(_)) || self.served <= self.share {
             return 1.0;
         }
-        (1.0 - times * (1.0 - self.share / self.served)).max(LEAST)
+        (1.0 - factor * (1.0 - self.share / self.served)).max(MIN_ADMITTED_RATIO)
     }
 
-    /// The age of what others told as a time.
-    pub(crate) fn aged(mut self, age: Option<Millis>) -> Self {
-        self.age_ms = age.map(|it| it.0);
+    /// Sets the age of the oldest summary.
+    pub(crate) fn with_age(mut self, age: Option<Millis>) -> Self {
+        self.age_ms = age.map(|age| age.0);
         self
     }
 }
--- a/components/shares/src/summary.rs
+++ b/components/shares/src/summary.rs
@@ -1,24 +1,23 @@
-//! What one router tells the others of a pool.
+//! The message in which a router summarizes the demand on a pool.
 
 use clock::Millis;
 use serde::{Deserialize, Serialize};
 
-/// The most lines of a word, so that it fits one datagram.
+/// The largest number of entries in a summary, so that it fits one datagram.
 pub const MAX_DEMANDS: usize = 32;
 
-/// The demand on one pool that one router sees: the largest workspaces exactly, the others as
-/// a sum.
+/// The demand on one pool at one router: the largest workspaces by name, the others as a sum.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// When it was told, by its router's clock: a later word replaces an earlier one.
+    /// When it was made, by the router's clock. A later summary replaces an earlier one.
     pub at: Millis,
-    /// Whether the pool is short by what this router has seen itself.
+    /// Whether this router itself has observed that the pool is saturated.
     pub saturated: bool,
-    /// Whether this router has refused workspaces lately that are not over their shares.
+    /// Whether this router has recently refused workspaces that are within their shares.
     pub starving: bool,
     /// The workspaces with the largest demand.
     pub demands: Vec<Demand>,
-    /// All others.
+    /// The other workspaces.
     pub remainder: Remainder,
 }
 
@@ -27,35 +26,35 @@
 pub struct Demand {
     /// The hash of the workspace's name.
     pub workspace: u64,
-    /// Lower is more urgent.
+    /// Lower values are more urgent.
     pub priority: i32,
-    /// What it asked for, repeats left out.
+    /// The requests received, without retries.
     pub requested: u32,
-    /// What of it was sent.
+    /// The requests sent to the pool.
     pub served: u32,
 }
 
-/// The demand of all workspaces that have no line, in tenths of a request.
+/// The total demand of the workspaces that are not listed, in tenths of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Remainder {
-    /// How many they are.
+    /// The number of workspaces.
     pub workspaces: u32,
-    /// What they asked for.
+    /// The requests received.
     pub requested: u32,
-    /// What of it was sent.
+    /// The requests sent to the pool.
     pub served: u32,
 }
 
-/// Tenths of a request as requests.
+/// Converts tenths of a request to requests.
 pub(crate) fn requests(tenths: u32) -> f64 {
     f64::from(tenths) / 10.0
 }
 
-/// Requests in tenths.
+/// Converts requests to tenths of a request.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a cast of too large a number gives the largest, and none is negative"
+    reason = "saturates at the bounds, and no count is negative"
 )]
 pub(crate) fn tenths(requests: f64) -> u32 {
     (requests * 10.0).round() as u32
