--- a/components/admission/src/call.rs
+++ b/components/admission/src/call.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at this sidecar.
+//! An attempt of a request at this sidecar.
 
 use std::sync::Arc;
 
@@ -6,14 +6,14 @@
 use clock::Millis;
 use wire::Open;
 
-/// Where a call stands.
+/// The progress of a call.
 #[derive(Clone, Debug)]
 pub(crate) enum Stage {
-    /// It waits for a slot.
+    /// Waiting for a slot.
     Queued(Box<Open>),
-    /// It was handed to the upstream, which has not answered.
+    /// Sent to the upstream, without an answer yet.
     Running,
-    /// The upstream answers.
+    /// Receiving the answer.
     Answering,
 }
 
@@ -30,13 +30,13 @@
     pub stage: Stage,
     pub chunks: u64,
     pub bytes: u64,
-    /// Whether the router still wants the answer.
-    pub wanted: bool,
-    /// What the upstream has answered so far, for a call with a key.
+    /// Whether the router still awaits the answer.
+    pub awaited: bool,
+    /// The answer so far, for a call with an idempotency key.
     pub answer: Answer,
 }
 
-/// An answer as it is kept for repeats.
+/// An answer that is stored for repeated requests.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Answer {
     pub status: u16,
--- a/components/admission/src/directory.rs
+++ b/components/admission/src/directory.rs
@@ -1,37 +1,37 @@
-//! Where the chats are whose first upstream in rank is this one.
+//! The locations of chats whose first upstream by rank is this one.
 
 use std::sync::Arc;
 
 use indexmap::IndexMap;
 
-/// The places of a chat that are kept: its context may be warm at each.
-const PLACES: usize = 2;
+/// The number of locations kept per chat.
+const MAX_LOCATIONS: usize = 2;
 
-/// The chats that were answered elsewhere, the oldest going first.
+/// The chats that were answered elsewhere, oldest first.
 #[derive(Debug, Default)]
 pub(crate) struct Directory {
     chats: IndexMap<u64, Vec<Arc<str>>>,
 }
 
 impl Directory {
-    /// Notes that a chat's context is at `upstream`, and keeps `most` chats.
-    pub(crate) fn note(&mut self, chat: u64, upstream: Arc<str>, most: usize) {
-        let places = self.chats.entry(chat).or_default();
-        places.retain(|place| *place != upstream);
-        places.insert(0, upstream);
-        places.truncate(PLACES);
-        if self.chats.len() > most {
+    /// Records that a chat's context is at `upstream`. Keeps at most `max_chats` chats.
+    pub(crate) fn insert(&mut self, chat: u64, upstream: Arc<str>, max_chats: usize) {
+        let locations = self.chats.entry(chat).or_default();
+        locations.retain(|location| *location != upstream);
+        locations.insert(0, upstream);
+        locations.truncate(MAX_LOCATIONS);
+        if self.chats.len() > max_chats {
             self.chats.shift_remove_index(0);
         }
     }
 
-    /// Where a chat's context is besides here, the latest place first.
-    pub(crate) fn find(&self, chat: u64) -> &[Arc<str>] {
+    /// Returns the upstreams that have a chat's context, latest first.
+    pub(crate) fn get(&self, chat: u64) -> &[Arc<str>] {
         self.chats.get(&chat).map_or(&[], Vec::as_slice)
     }
 
-    /// Forgets a chat that is answered here again.
-    pub(crate) fn forget(&mut self, chat: u64) {
+    /// Removes a chat that is answered here again.
+    pub(crate) fn remove(&mut self, chat: u64) {
         self.chats.swap_remove(&chat);
     }
 }
--- a/components/admission/src/event.rs
+++ b/components/admission/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a sidecar, and what it does about it.
+//! The inputs and outputs of the reducer.
 
 use std::sync::Arc;
 
@@ -7,60 +7,60 @@
 use placement::Pool;
 use wire::{Frame, Note, Open, Report};
 
-/// A sidecar's own number for one attempt of a request.
+/// The sidecar's number for one attempt of a request.
 pub type CallId = u64;
 
-/// Something that happened.
+/// An input of the reducer.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A whole request came.
+    /// A complete request arrived.
     Open {
         /// The call's number.
         call: CallId,
         /// The request.
         open: Open,
     },
-    /// The router went away or no longer wants the answer.
+    /// The router disconnected or cancelled the call.
     Cancel {
         /// The call.
         call: CallId,
     },
-    /// The upstream began to answer.
+    /// The head of the upstream's answer arrived.
     Head {
         /// The call.
         call: CallId,
         /// The HTTP status.
         status: u16,
-        /// The headers that go on to the caller.
+        /// The headers to forward.
         headers: Vec<(Arc<str>, Arc<str>)>,
     },
-    /// A part of the upstream's answer came.
+    /// Part of the body arrived.
     Chunk {
         /// The call.
         call: CallId,
         /// The bytes.
         bytes: Bytes,
     },
-    /// The upstream's answer is whole.
+    /// The upstream's answer is complete.
     Ended {
         /// The call.
         call: CallId,
     },
-    /// The upstream's answer will not be whole.
+    /// The upstream's answer failed.
     Failed {
         /// The call.
         call: CallId,
-        /// What went wrong.
+        /// The kind of error.
         kind: Kind,
     },
-    /// The pool came in answer to a report.
+    /// A report was answered with the pool's load.
     Pool {
         /// The pool.
         pool: Pool,
-        /// Whether the report was a sum.
+        /// Whether the report was the sum of a group.
         sum: bool,
     },
-    /// A member of the pool reported its load to this sidecar.
+    /// Another member of the pool reported its load.
     Report {
         /// The call to answer.
         call: CallId,
@@ -69,11 +69,11 @@
     },
     /// A chat was answered elsewhere.
     DirectoryUpdate(Note),
-    /// The platform's list of the other members of the pool came.
+    /// The other members of the pool, as listed by the platform.
     Peers(Vec<Peer>),
     /// Time passed.
     Tick,
-    /// The upstream is to leave.
+    /// The upstream begins to leave.
     Leave,
 }
 
@@ -82,28 +82,28 @@
 pub struct Peer {
     /// The upstream's name.
     pub name: Arc<str>,
-    /// Where its sidecar listens.
+    /// The address of its sidecar.
     pub address: Arc<str>,
 }
 
-/// Something to do.
+/// An output of the reducer.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Write a frame of the call's answer.
+    /// Send a frame of the call's answer.
     Send {
         /// The call.
         call: CallId,
         /// The frame.
         frame: Frame,
     },
-    /// Write the last frame of the call's answer.
+    /// Send the last frame of the call's answer.
     Finish {
         /// The call.
         call: CallId,
         /// The frame.
         frame: Frame,
     },
-    /// Hand the request to the upstream.
+    /// Send the request to the upstream.
     Run {
         /// The call.
         call: CallId,
@@ -115,13 +115,13 @@
         /// The call.
         call: CallId,
     },
-    /// Report the load to the aggregator.
+    /// Report the load to another member.
     Report {
-        /// The aggregator.
+        /// The receiver.
         to: Peer,
         /// The report.
         report: Report,
     },
-    /// Nothing is in flight any more after a `Leave`.
+    /// No call is in flight after `Leave`.
     Drained,
 }
--- a/components/admission/src/keys.rs
+++ b/components/admission/src/keys.rs
@@ -1,4 +1,4 @@
-//! The idempotency keys that this life of the sidecar owns.
+//! The idempotency keys owned by this incarnation of the sidecar.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -9,10 +9,10 @@
 use crate::Settings;
 use crate::call::Answer;
 
-/// The digest of a request, to tell a repeat from a reuse of its key.
+/// The digest of a request, which distinguishes a repeat from a reuse of its key.
 pub(crate) type Digest = u128;
 
-/// What is known of a key.
+/// The state of a key.
 #[derive(Debug)]
 enum Record {
     Running,
@@ -20,18 +20,18 @@
     Unknown(Kind),
 }
 
-/// What a call with a key is to get.
+/// How to handle a request with a key.
 #[derive(Debug)]
-pub(crate) enum Verdict {
-    /// It is the first; it may run.
-    First,
-    /// It ran; this is its answer.
+pub(crate) enum Action {
+    /// Run it: the key is new.
+    Run,
+    /// Replay the stored answer.
     Replay(Arc<Answer>),
-    /// It may not run.
+    /// Refuse it.
     Refuse(Kind),
 }
 
-/// Keys and stored answers, both bounded.
+/// Keys and stored answers. Both are bounded.
 #[derive(Debug, Default)]
 pub(crate) struct Keys {
     records: HashMap<Arc<str>, (Digest, Record)>,
@@ -40,29 +40,29 @@
 }
 
 impl Keys {
-    /// Takes a key; a full table takes no further one, since forgetting one
-    /// could make it run twice.
-    pub(crate) fn take(&mut self, key: &Arc<str>, digest: Digest, settings: &Settings) -> Verdict {
+    /// Registers a key. A full table refuses new keys, as dropping one could run a request twice.
+    pub(crate) fn register(&mut self, key: &Arc<str>, digest: Digest, settings: &Settings) -> Action {
         match self.records.get(key) {
-            Some((known, _)) if *known != digest => Verdict::Refuse(Kind::KeyReused),
-            Some((_, Record::Running)) => Verdict::Refuse(Kind::KeyBusy),
-            Some((_, Record::Done(Some(answer)))) => Verdict::Replay(answer.clone()),
-            Some((_, Record::Done(None))) => Verdict::Refuse(Kind::AnswerDropped),
-            Some((_, Record::Unknown(kind))) => Verdict::Refuse(*kind),
-            None if self.records.len() >= settings.keys => Verdict::Refuse(Kind::QueueFull),
+            Some((known, _)) if *known != digest => Action::Refuse(Kind::KeyReused),
+            Some((_, Record::Running)) => Action::Refuse(Kind::KeyBusy),
+            Some((_, Record::Done(Some(answer)))) => Action::Replay(answer.clone()),
+            Some((_, Record::Done(None))) => Action::Refuse(Kind::AnswerDropped),
+            Some((_, Record::Unknown(kind))) => Action::Refuse(*kind),
+            None if self.records.len() >= settings.keys => Action::Refuse(Kind::QueueFull),
             None => {
                 self.records.insert(key.clone(), (digest, Record::Running));
-                Verdict::First
+                Action::Run
             }
         }
     }
 
-    /// The call did not run after all; its key may come again.
+    /// Removes the key of a call that did not run.
     pub(crate) fn release(&mut self, key: &str) {
         self.records.remove(key);
     }
 
-    /// The call ran and this is its answer.
+    /// Stores the answer of a call. Answers that are too large are not replayed, and the oldest are
+    /// dropped beyond the total size.
     pub(crate) fn store(&mut self, key: &Arc<str>, answer: Answer, settings: &Settings) {
         let size = answer.size;
         let keep = size <= settings.answer_bytes;
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The call was handed over and its answer is not known.
+    /// Marks the key of a call that was sent to the upstream and has no known answer.
     pub(crate) fn mark_unknown(&mut self, key: &str, kind: Kind) {
         if let Some((_, record)) = self.records.get_mut(key) {
             *record = Record::Unknown(kind);
@@ -93,7 +93,7 @@
     }
 }
 
-/// The digest of method, path and body.
+/// Hashes method, path and body.
 pub(crate) fn digest(open: &wire::Open) -> Digest {
     let mut hasher = Xxh3::new();
     for part in [open.method.as_bytes(), open.path.as_bytes(), &open.body] {
--- a/components/admission/src/lib.rs
+++ b/components/admission/src/lib.rs
@@ -1,9 +1,8 @@
-//! The sidecar's reducer: what may run at an upstream, and when.
+//! Admission control of a sidecar: which requests run at its upstream, and when.
 //!
-//! The sidecar is the only way into its upstream, so every promise about the
-//! upstream is made true here: it counts its own work exactly, and what it has
-//! refused never runs. [`State::apply`] takes one [`Event`] and the time, and
-//! returns [`Effect`]s for the edge to carry out.
+//! All requests to the upstream pass through its sidecar, so its counts of running requests are
+//! exact, and a request that it refused never runs. [`State::apply`] takes an [`Event`] and the
+//! time, and returns the [`Effect`]s to carry out.
 
 mod call;
 mod directory;
--- a/components/admission/src/pool.rs
+++ b/components/admission/src/pool.rs
@@ -1,10 +1,9 @@
-//! The load of the pool: reports, their sums, and who makes them.
+//! The load of the pool, aggregated over a tree of its members.
 //!
-//! Members are put in rendezvous order, so that those with the same list agree
-//! without an election. In a small pool the first one sums all loads. In a
-//! large one the first `k`, the square root of the pool, are leaders: each
-//! member reports to one of them, and they report their sums to the first, the
-//! root. Whoever does not answer for a while is passed over.
+//! Members are sorted in rendezvous order, so members with the same list agree without an
+//! election. In a small pool the first member sums all loads. In a large one the first `k`, the
+//! square root of the pool's size, are leaders: each member reports to one of them, and they
+//! report their sums to the first, the root. Receivers that don't answer for a while are skipped.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,39 +14,39 @@
 
 use crate::{Peer, Settings};
 
-/// The largest pool that one member sums.
-const FLAT: usize = 16;
+/// The largest pool with a single leader.
+const MAX_FLAT_MEMBERS: usize = 16;
 
-/// The key under which members are put in order.
-const ORDER: u64 = 0;
+/// The rendezvous key that orders the members.
+const ORDER_KEY: u64 = 0;
 
-/// A change of load is large above this part of the load last reported.
-const LARGE_CHANGE: u64 = 16;
+/// The part of the reported load above which a change is large, as a divisor.
+const LARGE_CHANGE_DIVISOR: u64 = 16;
 
-/// The reports that are sent without a change in the time that one counts, so
-/// that a single loss does not make a member silent.
-const HEARTBEATS: u64 = 3;
+/// The number of reports sent without a change while one is valid, so that a single loss does no
+/// harm.
+const HEARTBEATS_PER_TTL: u64 = 3;
 
-/// What a sidecar knows of its pool.
+/// The aggregation tree as seen by one member.
 #[derive(Debug)]
 pub(crate) struct Tree {
     own: Peer,
     incarnation: u64,
-    keep: Millis,
-    /// All members in order, this one among them; `None` before the first list.
+    ttl: Millis,
+    /// All members in order, including this one; `None` before the first list.
     order: Option<Vec<Peer>>,
-    /// The place of this member in the order.
-    place: usize,
-    /// The members that report to this one, itself among them if it leads.
+    /// The index of this member in the order.
+    index: usize,
+    /// The members that report to this one, including itself if it is a leader.
     group: Aggregate,
     /// The sums that leaders report to this one.
     sums: Aggregate,
-    /// The pool as it was heard last.
-    heard: Pool,
+    /// The pool in the last answer to a report.
+    last_answer: Pool,
     /// Reports of the own load to a leader.
-    up: Upward,
+    load_uplink: Uplink,
     /// Reports of the group's sum to the root.
-    sum_up: Upward,
+    sum_uplink: Uplink,
 }
 
 impl Tree {
@@ -55,113 +54,111 @@
         Self {
             own,
             incarnation,
-            keep: Millis(settings.report_keep_ms),
+            ttl: Millis(settings.report_keep_ms),
             order: None,
-            place: 0,
+            index: 0,
             group: Aggregate::default(),
             sums: Aggregate::default(),
-            heard: Pool::default(),
-            up: Upward::default(),
-            sum_up: Upward::default(),
+            last_answer: Pool::default(),
+            load_uplink: Uplink::default(),
+            sum_uplink: Uplink::default(),
         }
     }
 
-    /// Takes the platform's list of the other members.
-    pub(crate) fn list(&mut self, mut peers: Vec<Peer>, now: Millis) {
+    /// Replaces the list of the other members.
+    pub(crate) fn set_members(&mut self, mut peers: Vec<Peer>, now: Millis) {
         peers.retain(|peer| peer.name != self.own.name);
         peers.push(self.own.clone());
-        rank(ORDER, &mut peers, |peer| (&peer.name, 1.0));
-        self.place = peers.iter().position(|it| it.name == self.own.name).unwrap_or(0);
-        let leaders = width(peers.len());
-        if self.place < leaders {
+        rank(ORDER_KEY, &mut peers, |peer| (&peer.name, 1.0));
+        self.index = peers.iter().position(|peer| peer.name == self.own.name).unwrap_or(0);
+        let leaders = leader_count(peers.len());
+        if self.index < leaders {
             let mine = peers
                 .iter()
                 .enumerate()
-                .filter(|(place, peer)| leader(*place, peer, leaders) == self.place);
-            self.group.list(mine.map(|(_, peer)| &peer.name), now);
+                .filter(|(index, peer)| leader_index(*index, peer, leaders) == self.index);
+            self.group.add_members(mine.map(|(_, peer)| &peer.name), now);
         }
         self.order = Some(peers);
     }
 
-    /// Takes a report and returns the pool as this member knows it.
-    pub(crate) fn take(&mut self, report: &Report, now: Millis) -> Pool {
+    /// Records a report and returns the pool as this member knows it.
+    pub(crate) fn receive(&mut self, report: &Report, now: Millis) -> Pool {
         if report.sum {
-            self.sums.take(report, now);
-            return self.summed(now);
+            self.sums.record(report, now);
+            return self.total(now);
         }
-        self.group.take(report, now);
-        self.known(now)
+        self.group.record(report, now);
+        self.known_pool(now)
     }
 
-    /// Takes the answer to a report of the own load, or of the group's `sum`.
-    pub(crate) fn hear(&mut self, pool: Pool, sum: bool, now: Millis) {
-        self.heard = pool;
-        let up = if sum { &mut self.sum_up } else { &mut self.up };
-        up.heard = Some(now);
+    /// Records the answer to a report of the own load, or of the group's `sum`.
+    pub(crate) fn record_answer(&mut self, pool: Pool, sum: bool, now: Millis) {
+        self.last_answer = pool;
+        let uplink = if sum { &mut self.sum_uplink } else { &mut self.load_uplink };
+        uplink.answered = Some(now);
     }
 
-    /// The reports that are due, and to whom.
-    pub(crate) fn reports(
+    /// Takes the reports that are due, with their receivers.
+    pub(crate) fn take_reports(
         &mut self,
         load: u64,
         settings: &Settings,
         now: Millis,
     ) -> Vec<(Peer, Report)> {
         let listed = self.order.as_deref().unwrap_or_default();
-        self.group.forget(self.keep, now, listed);
-        self.sums.forget(self.keep, now, listed);
+        self.group.expire(self.ttl, now, listed);
+        self.sums.expire(self.ttl, now, listed);
         let own = self.report_load(load, settings, now);
         let sum = self.report_sum(settings, now);
         own.into_iter().chain(sum).collect()
     }
 
-    /// The pool with the own load as it is now. Before anything is known of the
-    /// others they count as idle; before their list is known, as so many that
-    /// only the bound's floor is left.
+    /// The pool with the current own load. The others count as idle before the first answer.
+    /// Before their list is known, they count as so many that only the bound's floor applies.
     pub(crate) fn pool(&self, load: u64, now: Millis) -> Pool {
         let Some(order) = &self.order else { return Pool { load, members: u32::MAX } };
         let members = u32::try_from(order.len()).unwrap_or(u32::MAX);
-        let Some((reported, _)) = self.up.sent else { return Pool { load, members } };
-        if self.up.heard.is_none() {
+        let Some((reported, _)) = self.load_uplink.sent else { return Pool { load, members } };
+        if self.load_uplink.answered.is_none() {
             return Pool { load, members };
         }
-        let known = self.known(now);
+        let known = self.known_pool(now);
         let others = known.load.saturating_sub(reported);
         Pool { load: others + load, members: known.members.max(1) }
     }
 
     fn leaders(&self) -> usize {
-        width(self.order.as_ref().map_or(1, Vec::len))
+        leader_count(self.order.as_ref().map_or(1, Vec::len))
     }
 
-    fn leads(&self) -> bool {
-        self.place < self.leaders()
+    fn is_leader(&self) -> bool {
+        self.index < self.leaders()
     }
 
-    /// The pool as far as is known: fresh for the own group, as heard for the
-    /// rest.
-    fn known(&self, now: Millis) -> Pool {
-        if !self.leads() {
-            return self.heard;
+    /// The pool with current loads for the own group, and those of the last answer for the rest.
+    fn known_pool(&self, now: Millis) -> Pool {
+        if !self.is_leader() {
+            return self.last_answer;
         }
-        if self.place == 0 {
-            return self.summed(now);
+        if self.index == 0 {
+            return self.total(now);
         }
-        let group = self.group.pool(self.keep, now);
-        let sent = self.sum_up.sent.map_or(0, |(load, _)| load);
-        let others = self.heard.load.saturating_sub(sent);
-        Pool { load: others + group.load, members: self.heard.members.max(group.members) }
+        let group = self.group.pool(self.ttl, now);
+        let sent = self.sum_uplink.sent.map_or(0, |(load, _)| load);
+        let others = self.last_answer.load.saturating_sub(sent);
+        Pool { load: others + group.load, members: self.last_answer.members.max(group.members) }
     }
 
-    /// The sum that this member makes as the root. Leaders that have not
-    /// reported yet count as idle, with their members.
-    fn summed(&self, now: Millis) -> Pool {
-        let group = self.group.pool(self.keep, now);
-        let sums = self.sums.pool(self.keep, now);
+    /// The sum over all members, for the root. Leaders that have not reported yet count as idle,
+    /// with their members.
+    fn total(&self, now: Millis) -> Pool {
+        let group = self.group.pool(self.ttl, now);
+        let sums = self.sums.pool(self.ttl, now);
         let listed = self.order.as_ref().map_or(0, Vec::len);
-        let silent = self.sums.silent_since(now) <= self.keep;
+        let starting = self.sums.elapsed(now) <= self.ttl;
         let members = group.members + sums.members;
-        let members = if silent && self.leaders() > 1 {
+        let members = if starting && self.leaders() > 1 {
             members.max(u32::try_from(listed).unwrap_or(u32::MAX))
         } else {
             members
@@ -175,35 +172,35 @@
         settings: &Settings,
         now: Millis,
     ) -> Option<(Peer, Report)> {
-        if !self.up.is_due(load, settings, now) {
+        if !self.load_uplink.is_due(load, settings, now) {
             return None;
         }
         let leaders = self.leaders();
-        let first = leader(self.place, &self.own, leaders);
-        let to = self.member(first, leaders, self.up.turns(self.keep, now));
-        self.up.sent = Some((load, now));
+        let first = leader_index(self.index, &self.own, leaders);
+        let to = self.receiver(first, leaders, self.load_uplink.missed(self.ttl, now));
+        self.load_uplink.sent = Some((load, now));
         let report = self.report(load, 1, false);
         if to.name != self.own.name {
             return Some((to, report));
         }
-        self.group.take(&report, now);
-        self.up.heard = Some(now);
+        self.group.record(&report, now);
+        self.load_uplink.answered = Some(now);
         None
     }
 
     fn report_sum(&mut self, settings: &Settings, now: Millis) -> Option<(Peer, Report)> {
         let leaders = self.leaders();
-        let group = self.group.pool(self.keep, now);
-        if leaders == 1 || !self.leads() || !self.sum_up.is_due(group.load, settings, now) {
+        let group = self.group.pool(self.ttl, now);
+        if leaders == 1 || !self.is_leader() || !self.sum_uplink.is_due(group.load, settings, now) {
             return None;
         }
-        let to = self.member(0, leaders, self.sum_up.turns(self.keep, now));
-        self.sum_up.sent = Some((group.load, now));
+        let to = self.receiver(0, leaders, self.sum_uplink.missed(self.ttl, now));
+        self.sum_uplink.sent = Some((group.load, now));
         if to.name != self.own.name {
             return Some((to, self.report(group.load, group.members, true)));
         }
-        self.heard = self.summed(now);
-        self.sum_up.heard = Some(now);
+        self.last_answer = self.total(now);
+        self.sum_uplink.answered = Some(now);
         None
     }
 
@@ -211,71 +208,70 @@
         Report { name: self.own.name.clone(), incarnation: self.incarnation, load, members, sum }
     }
 
-    /// The leader `turns` after `first`; this member before the list is known.
-    fn member(&self, first: usize, leaders: usize, turns: usize) -> Peer {
+    /// The leader `skipped` positions after `first`; this member before the list is known.
+    fn receiver(&self, first: usize, leaders: usize, skipped: usize) -> Peer {
         let order = self.order.as_deref().unwrap_or_default();
-        // A small pool has one leader, and any member may stand in for it.
-        let among = if leaders > 1 { leaders } else { order.len().max(1) };
-        order.get((first + turns) % among).unwrap_or(&self.own).clone()
+        // In a small pool any member may replace the single leader.
+        let candidates = if leaders > 1 { leaders } else { order.len().max(1) };
+        order.get((first + skipped) % candidates).unwrap_or(&self.own).clone()
     }
 }
 
-/// How many leaders a pool of `members` has.
-fn width(members: usize) -> usize {
-    if members <= FLAT { 1 } else { members.isqrt() }
+/// The number of leaders in a pool of `members`.
+fn leader_count(members: usize) -> usize {
+    if members <= MAX_FLAT_MEMBERS { 1 } else { members.isqrt() }
 }
 
-/// The place of the leader that the member at `place` reports to.
-fn leader(place: usize, peer: &Peer, leaders: usize) -> usize {
-    if place < leaders {
-        return place;
+/// The index of the leader that the member at `index` reports to.
+fn leader_index(index: usize, peer: &Peer, leaders: usize) -> usize {
+    if index < leaders {
+        return index;
     }
     let hash = key("", &peer.name) % leaders as u64;
     usize::try_from(hash).unwrap_or(0)
 }
 
-/// Reports in one direction.
+/// Reports to one kind of receiver.
 #[derive(Clone, Copy, Debug, Default)]
-struct Upward {
-    /// The load last reported, and when.
+struct Uplink {
+    /// The last reported load, and when it was sent.
     sent: Option<(u64, Millis)>,
-    /// When the last answer came.
-    heard: Option<Millis>,
+    /// When the last answer arrived.
+    answered: Option<Millis>,
 }
 
-impl Upward {
-    /// A report is due soon after a large change, later after a small one, and
-    /// now and then without any, as a heartbeat.
+impl Uplink {
+    /// Whether a report is due: soon after a large change, later after a small one, and
+    /// periodically without a change, as a heartbeat.
     fn is_due(&self, load: u64, settings: &Settings, now: Millis) -> bool {
         let Some((reported, at)) = self.sent else { return true };
         let change = load.abs_diff(reported);
-        let after = if change > reported / LARGE_CHANGE {
+        let after = if change > reported / LARGE_CHANGE_DIVISOR {
             settings.report_soon_ms
         } else if change > 0 {
             settings.report_every_ms
         } else {
-            settings.report_keep_ms / HEARTBEATS
+            settings.report_keep_ms / HEARTBEATS_PER_TTL
         };
         at.until(now).0 >= after
     }
 
-    /// How many in turn have not answered in time.
-    fn turns(&self, keep: Millis, now: Millis) -> usize {
-        let silent = self.heard.map_or(Millis::ZERO, |at| at.until(now));
-        usize::try_from(silent.0 / keep.0.max(1)).unwrap_or(usize::MAX)
+    /// The number of receivers in a row that have not answered in time.
+    fn missed(&self, ttl: Millis, now: Millis) -> usize {
+        let silence = self.answered.map_or(Millis::ZERO, |at| at.until(now));
+        usize::try_from(silence.0 / ttl.0.max(1)).unwrap_or(usize::MAX)
     }
 }
 
-/// What members have reported.
+/// The reports of members.
 ///
-/// A member that is listed and has not reported yet counts with no load: that
-/// makes the mean too low, and so the bound too tight rather than too loose.
-/// One that has been silent for too long no longer counts at all.
+/// A listed member that has not reported yet counts without load, which makes the bound tighter
+/// rather than looser. One whose report has expired is not counted.
 #[derive(Clone, Debug, Default)]
 struct Aggregate {
     members: BTreeMap<Arc<str>, Member>,
-    /// When the first report came.
-    began: Option<Millis>,
+    /// When the first report arrived.
+    started: Option<Millis>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -283,49 +279,48 @@
     incarnation: u64,
     load: u64,
     members: u32,
-    /// When it last reported, or was listed first.
-    heard: Millis,
+    /// When it last reported, or was first listed.
+    last_seen: Millis,
 }
 
 impl Aggregate {
-    /// Takes a report; one from an earlier life of the member is ignored.
-    fn take(&mut self, report: &Report, now: Millis) {
+    /// Records a report. Ignores those from an earlier incarnation of the member.
+    fn record(&mut self, report: &Report, now: Millis) {
         let known = self.members.get(&report.name);
         if known.is_some_and(|known| known.incarnation > report.incarnation) {
             return;
         }
-        self.began.get_or_insert(now);
+        self.started.get_or_insert(now);
         let (incarnation, load, members) = (report.incarnation, report.load, report.members);
-        let member = Member { incarnation, load, members, heard: now };
+        let member = Member { incarnation, load, members, last_seen: now };
         self.members.insert(report.name.clone(), member);
     }
 
-    /// Takes the names on the platform's list.
-    fn list<'a>(&mut self, names: impl Iterator<Item = &'a Arc<str>>, now: Millis) {
+    /// Adds listed members.
+    fn add_members<'a>(&mut self, names: impl Iterator<Item = &'a Arc<str>>, now: Millis) {
         for name in names {
-            let fresh = Member { incarnation: 0, load: 0, members: 1, heard: now };
-            self.members.entry(name.clone()).or_insert(fresh);
+            let new = Member { incarnation: 0, load: 0, members: 1, last_seen: now };
+            self.members.entry(name.clone()).or_insert(new);
         }
     }
 
-    /// How long ago the first report came; no time at all before it.
-    fn silent_since(&self, now: Millis) -> Millis {
-        self.began.map_or(Millis::ZERO, |began| began.until(now))
+    /// The time since the first report, zero before it.
+    fn elapsed(&self, now: Millis) -> Millis {
+        self.started.map_or(Millis::ZERO, |started| started.until(now))
     }
 
-    /// The sum over the members heard of within `keep`.
-    fn pool(&self, keep: Millis, now: Millis) -> Pool {
-        let heard = self.members.values().filter(|it| it.heard.until(now) <= keep);
-        heard.fold(Pool::default(), |pool, it| Pool {
-            load: pool.load + it.load,
-            members: pool.members + it.members,
+    /// The sum over the members seen within `ttl`.
+    fn pool(&self, ttl: Millis, now: Millis) -> Pool {
+        let valid = self.members.values().filter(|member| member.last_seen.until(now) <= ttl);
+        valid.fold(Pool::default(), |pool, member| Pool {
+            load: pool.load + member.load,
+            members: pool.members + member.members,
         })
     }
 
-    /// Forgets members that have been silent for `keep` and are not on the
-    /// list.
-    fn forget(&mut self, keep: Millis, now: Millis, listed: &[Peer]) {
+    /// Drops members that were not seen within `ttl` and are not listed.
+    fn expire(&mut self, ttl: Millis, now: Millis, listed: &[Peer]) {
         let is_listed = |name: &Arc<str>| listed.iter().any(|peer| peer.name == *name);
-        self.members.retain(|name, it| it.heard.until(now) <= keep || is_listed(name));
+        self.members.retain(|name, member| member.last_seen.until(now) <= ttl || is_listed(name));
     }
 }
--- a/components/admission/src/queue.rs
+++ b/components/admission/src/queue.rs
@@ -1,4 +1,4 @@
-//! Which waiting call runs next.
+//! The queue of waiting calls.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,13 +6,13 @@
 use crate::CallId;
 use crate::call::Call;
 
-/// Fair queueing between workspaces: the workspace that has been served least
-/// goes first, within it the lowest priority value, then the oldest.
+/// Fair queueing between workspaces: the least served workspace goes first, then the lowest
+/// priority value, then the oldest call.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
     waiting: Vec<CallId>,
     served: HashMap<Arc<str>, u64>,
-    /// The service that the last workspace to start had had.
+    /// The service of the workspace that started a call last, before that call.
     floor: u64,
 }
 
@@ -21,7 +21,7 @@
         self.waiting.len()
     }
 
-    /// Adds a call; a workspace that was idle starts level with the others.
+    /// Adds a call. A workspace that was idle resumes at the floor.
     pub(crate) fn push(&mut self, id: CallId, call: &Call) {
         self.waiting.push(id);
         let floor = self.floor;
@@ -29,23 +29,23 @@
         *served = (*served).max(floor);
     }
 
-    /// Takes a call out.
+    /// Removes a call.
     pub(crate) fn remove(&mut self, id: CallId) {
-        self.waiting.retain(|it| *it != id);
+        self.waiting.retain(|waiting| *waiting != id);
     }
 
-    /// Takes the next call out.
+    /// Removes and returns the next call.
     pub(crate) fn pop(&mut self, calls: &HashMap<CallId, Call>) -> Option<CallId> {
         let next = self.waiting.iter().copied().min_by_key(|id| self.order(*id, calls))?;
         self.remove(next);
         if let Some(call) = calls.get(&next) {
-            self.serve(call);
+            self.record_start(call);
         }
         Some(next)
     }
 
-    /// Counts a call that starts as service to its workspace.
-    pub(crate) fn serve(&mut self, call: &Call) {
+    /// Adds the weight of a starting call to its workspace's service.
+    pub(crate) fn record_start(&mut self, call: &Call) {
         let floor = self.floor;
         let served = self.served.entry(call.workspace.clone()).or_insert(floor);
         *served = (*served).max(floor);
--- a/components/admission/src/settings.rs
+++ b/components/admission/src/settings.rs
@@ -1,4 +1,4 @@
-//! What an operator may set about a sidecar's decisions.
+//! Settings of the reducer.
 
 use placement::Bound;
 use serde::{Deserialize, Serialize};
@@ -9,25 +9,23 @@
 pub struct Settings {
     /// The load bound.
     pub bound: Bound,
-    /// The most requests that run at a time.
+    /// The largest number of running requests.
     pub slots: usize,
-    /// The most requests that wait.
+    /// The largest number of waiting requests.
     pub queue: usize,
-    /// How long a load report counts, in milliseconds.
+    /// How long a load report is valid, in milliseconds.
     pub report_keep_ms: u64,
-    /// How long a small change of load may wait for its report, in
-    /// milliseconds.
+    /// The longest delay of the report of a small change of load, in milliseconds.
     pub report_every_ms: u64,
-    /// How long a large change of load may wait for its report, in
-    /// milliseconds.
+    /// The longest delay of the report of a large change of load, in milliseconds.
     pub report_soon_ms: u64,
-    /// The most chats whose context is known to be elsewhere.
+    /// The largest number of chats in the directory.
     pub chats: usize,
-    /// The most idempotency keys remembered; no further one is taken above it.
+    /// The largest number of idempotency keys; new ones are refused beyond it.
     pub keys: usize,
-    /// The most bytes of stored answers; the oldest are dropped above it.
+    /// The largest total size of stored answers, in bytes; the oldest are dropped beyond it.
     pub answers_bytes: usize,
-    /// The largest stored answer of one key, in bytes.
+    /// The largest size of one stored answer, in bytes.
     pub answer_bytes: usize,
 }
 
--- a/components/admission/src/state.rs
+++ b/components/admission/src/state.rs
@@ -1,4 +1,4 @@
-//! The state of a sidecar and its transitions.
+//! The reducer's state and its transitions.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,16 +10,15 @@
 
 use crate::call::{Answer, Call, Stage};
 use crate::directory::Directory;
-use crate::keys::{Keys, Verdict, digest};
+use crate::keys::{Action, Keys, digest};
 use crate::pool::Tree;
 use crate::queue::Queue;
 use crate::{CallId, Effect, Event, Peer, Settings};
 
-/// The weight of the newest run in the mean time of a run, as one part in this
-/// many.
+/// The weight of the latest run in the mean run time, as a divisor.
 const RUN_SMOOTHING: u64 = 8;
 
-/// Everything that a sidecar knows.
+/// The state of a sidecar.
 #[derive(Debug)]
 pub struct State {
     settings: Settings,
@@ -33,13 +32,14 @@
     keys: Keys,
     tree: Tree,
     directory: Directory,
+    /// The mean run time.
     run_ms: u64,
     leaving: bool,
 }
 
 impl State {
-    /// A sidecar in a new life; `incarnation` is above that of every earlier
-    /// one of the same name.
+    /// Creates the state of a new incarnation, whose number is above that of every earlier one of
+    /// the same name.
     pub fn new(settings: Settings, own: Peer, incarnation: u64) -> Self {
         let tree = Tree::new(own, incarnation, &settings);
         Self {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// What the sidecar says of itself.
+    /// The status reported in frames.
     pub fn status(&self) -> Status {
         Status {
             incarnation: self.incarnation,
@@ -69,49 +69,49 @@
         }
     }
 
-    /// The load that it carries, in tokens.
+    /// The admitted load, in tokens.
     pub fn load(&self) -> u64 {
         self.load
     }
 
-    /// The calls that have not got their last frame.
+    /// The number of calls without their last frame.
     pub fn in_flight(&self) -> usize {
         self.calls.len()
     }
 
-    /// The calls handed to the upstream and not ended.
+    /// The number of calls at the upstream.
     pub fn running(&self) -> usize {
         self.running
     }
 
-    /// The life of this sidecar.
+    /// The incarnation of this sidecar.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Whether it takes no new work.
+    /// Whether new requests are refused as the upstream leaves.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Takes one event and returns what is to be done about it.
+    /// Applies an event and returns its effects.
     pub fn apply(&mut self, event: Event, now: Millis) -> Vec<Effect> {
         self.now = now;
         let mut effects = match event {
             Event::Open { call, open } => self.open(call, open, now),
             Event::Cancel { call } => self.cancel(call),
-            Event::Head { call, status, headers } => self.head(call, status, headers),
-            Event::Chunk { call, bytes } => self.chunk(call, bytes),
-            Event::Ended { call } => self.ended(call, now),
-            Event::Failed { call, kind } => self.failed(call, kind),
-            Event::Pool { pool, sum } => self.hear_pool(pool, sum, now),
-            Event::Report { call, report } => self.report(call, &report, now),
-            Event::DirectoryUpdate(note) => self.note(note),
-            Event::Peers(peers) => self.peers(peers, now),
+            Event::Head { call, status, headers } => self.start_answer(call, status, headers),
+            Event::Chunk { call, bytes } => self.forward_chunk(call, bytes),
+            Event::Ended { call } => self.finish(call, now),
+            Event::Failed { call, kind } => self.fail(call, kind),
+            Event::Pool { pool, sum } => self.record_pool(pool, sum, now),
+            Event::Report { call, report } => self.receive_report(call, &report, now),
+            Event::DirectoryUpdate(note) => self.update_directory(note),
+            Event::Peers(peers) => self.set_peers(peers, now),
             Event::Tick => self.tick(now),
             Event::Leave => self.leave(),
         };
-        self.fill(now, &mut effects);
+        self.start_waiting(now, &mut effects);
         if self.leaving && self.calls.is_empty() {
             effects.push(Effect::Drained);
         }
@@ -128,13 +128,13 @@
         }
         let hints = self.hints(&open);
         if let Some(key) = &open.once {
-            match self.keys.take(key, digest(&open), &self.settings) {
-                Verdict::First => {}
-                Verdict::Replay(answer) => return self.replay(id, open.attempt, &answer),
-                Verdict::Refuse(kind) => return self.refuse(id, kind, Vec::new()),
+            match self.keys.register(key, digest(&open), &self.settings) {
+                Action::Run => {}
+                Action::Replay(answer) => return self.replay(id, open.attempt, &answer),
+                Action::Refuse(kind) => return self.refuse(id, kind, Vec::new()),
             }
         }
-        if let Some(kind) = self.objection(&open) {
+        if let Some(kind) = self.refusal(&open) {
             if let Some(key) = &open.once {
                 self.keys.release(key);
             }
@@ -143,7 +143,7 @@
         if !hints.is_empty() {
             return self.refuse(id, Kind::Moved, hints);
         }
-        self.directory.forget(open.chat);
+        self.directory.remove(open.chat);
         self.load += open.weight;
         let call = Call {
             attempt: open.attempt,
@@ -156,7 +156,7 @@
             stage: Stage::Queued(Box::new(open)),
             chunks: 0,
             bytes: 0,
-            wanted: true,
+            awaited: true,
             answer: Answer::default(),
         };
         self.queue.push(id, &call);
@@ -165,26 +165,26 @@
         vec![Effect::Send { call: id, frame }]
     }
 
-    /// Why a request may not run here now, if so.
-    fn objection(&self, open: &Open) -> Option<Kind> {
+    /// Why a request can't be admitted now, if so.
+    fn refusal(&self, open: &Open) -> Option<Kind> {
         if self.leaving {
             return Some(Kind::Leaving);
         }
         if !self.settings.bound.admits(self.load, open.weight, self.pool()) {
             return Some(Kind::OverBound);
         }
-        let waits = self.running >= self.settings.slots;
-        if waits && self.queue.len() >= self.settings.queue {
+        let must_wait = self.running >= self.settings.slots;
+        if must_wait && self.queue.len() >= self.settings.queue {
             return Some(Kind::QueueFull);
         }
-        if waits && self.wait_ms() > open.remaining_ms {
+        if must_wait && self.expected_wait_ms() > open.remaining_ms {
             return Some(Kind::WouldMiss);
         }
         (open.remaining_ms == 0).then_some(Kind::ExpiredWaiting)
     }
 
-    /// The wait to expect for a call that comes now, in milliseconds.
-    fn wait_ms(&self) -> u64 {
+    /// The expected wait of a call that arrives now.
+    fn expected_wait_ms(&self) -> u64 {
         if self.running < self.settings.slots {
             return 0;
         }
@@ -192,23 +192,23 @@
         ahead * self.run_ms / self.settings.slots.max(1) as u64
     }
 
-    /// The upstreams that a chat's context is at, if the chat is looked for here
-    /// and is known to be elsewhere.
+    /// The other upstreams that have a chat's context, if this sidecar keeps the chat's directory
+    /// entry.
     fn hints(&self, open: &Open) -> Vec<Arc<str>> {
         if !open.home || open.once.is_some() {
             return Vec::new();
         }
-        self.directory.find(open.chat).to_vec()
+        self.directory.get(open.chat).to_vec()
     }
 
     fn refuse(&self, call: CallId, kind: Kind, hints: Vec<Arc<str>>) -> Vec<Effect> {
-        let retry_after_ms = self.wait_ms().max(self.run_ms);
+        let retry_after_ms = self.expected_wait_ms().max(self.run_ms);
         let refused = Refused { kind, retry_after_ms, hints, status: self.status() };
         vec![Effect::Finish { call, frame: Frame::Refused(refused) }]
     }
 
     /// Starts waiting calls while slots are free.
-    fn fill(&mut self, now: Millis, effects: &mut Vec<Effect>) {
+    fn start_waiting(&mut self, now: Millis, effects: &mut Vec<Effect>) {
         while self.running < self.settings.slots {
             let Some(id) = self.queue.pop(&self.calls) else {
                 return;
@@ -225,7 +225,7 @@
         }
     }
 
-    fn head(&mut self, id: CallId, status: u16, headers: Vec<(Arc<str>, Arc<str>)>) -> Vec<Effect> {
+    fn start_answer(&mut self, id: CallId, status: u16, headers: Vec<(Arc<str>, Arc<str>)>) -> Vec<Effect> {
         let Some(call) = self.calls.get_mut(&id) else {
             return Vec::new();
         };
@@ -235,10 +235,10 @@
             call.answer.headers.clone_from(&headers);
         }
         let frame = Frame::Head(Head { attempt: call.attempt, status, headers });
-        if call.wanted { vec![Effect::Send { call: id, frame }] } else { Vec::new() }
+        if call.awaited { vec![Effect::Send { call: id, frame }] } else { Vec::new() }
     }
 
-    fn chunk(&mut self, id: CallId, bytes: bytes::Bytes) -> Vec<Effect> {
+    fn forward_chunk(&mut self, id: CallId, bytes: bytes::Bytes) -> Vec<Effect> {
         let Some(call) = self.calls.get_mut(&id) else {
             return Vec::new();
         };
@@ -252,10 +252,10 @@
             }
         }
         let frame = Frame::Chunk(Chunk { attempt: call.attempt, sequence, bytes });
-        if call.wanted { vec![Effect::Send { call: id, frame }] } else { Vec::new() }
+        if call.awaited { vec![Effect::Send { call: id, frame }] } else { Vec::new() }
     }
 
-    fn ended(&mut self, id: CallId, now: Millis) -> Vec<Effect> {
+    fn finish(&mut self, id: CallId, now: Millis) -> Vec<Effect> {
         let Some(call) = self.release(id) else {
             return Vec::new();
         };
@@ -270,11 +270,11 @@
         }
         let (attempt, chunks, bytes) = (call.attempt, call.chunks, call.bytes);
         let frame = Frame::End(End { attempt, chunks, bytes, status: self.status() });
-        if call.wanted { vec![Effect::Finish { call: id, frame }] } else { Vec::new() }
+        if call.awaited { vec![Effect::Finish { call: id, frame }] } else { Vec::new() }
     }
 
-    /// The upstream's answer will not be whole.
-    fn failed(&mut self, id: CallId, kind: Kind) -> Vec<Effect> {
+    /// Ends a call without a complete answer.
+    fn fail(&mut self, id: CallId, kind: Kind) -> Vec<Effect> {
         let Some(call) = self.release(id) else {
             return Vec::new();
         };
@@ -284,7 +284,7 @@
                 Outcome::Unknown | Outcome::Ran => self.keys.mark_unknown(key, kind),
             }
         }
-        if !call.wanted {
+        if !call.awaited {
             return Vec::new();
         }
         let frame = if kind.row().outcome == Outcome::NotRun {
@@ -301,14 +301,13 @@
         vec![Effect::Finish { call: id, frame }]
     }
 
-    /// The router is gone. A call with a key runs on, so that its answer can be
-    /// told to a repeat.
+    /// Cancels a call. A running call with a key continues, so that its answer can be replayed.
     fn cancel(&mut self, id: CallId) -> Vec<Effect> {
         let Some(call) = self.calls.get_mut(&id) else {
             return Vec::new();
         };
         if call.key.is_some() && !call.is_queued() {
-            call.wanted = false;
+            call.awaited = false;
             return Vec::new();
         }
         let Some(call) = self.release(id) else {
@@ -323,7 +322,7 @@
         vec![Effect::Abort { call: id }]
     }
 
-    /// Takes a call out of every count.
+    /// Removes a call from all counts.
     fn release(&mut self, id: CallId) -> Option<Call> {
         let call = self.calls.remove(&id)?;
         self.load -= call.weight;
@@ -352,14 +351,14 @@
     }
 
     fn tick(&mut self, now: Millis) -> Vec<Effect> {
-        let mut late: Vec<_> =
-            self.calls.iter().filter(|(_, it)| it.deadline <= now).map(|(id, _)| *id).collect();
-        late.sort_unstable();
+        let mut expired: Vec<_> =
+            self.calls.iter().filter(|(_, call)| call.deadline <= now).map(|(id, _)| *id).collect();
+        expired.sort_unstable();
         let mut effects = Vec::new();
-        for id in late {
+        for id in expired {
             effects.extend(self.expire(id));
         }
-        let reports = self.tree.reports(self.load, &self.settings, now);
+        let reports = self.tree.take_reports(self.load, &self.settings, now);
         effects.extend(reports.into_iter().map(|(to, report)| Effect::Report { to, report }));
         effects
     }
@@ -377,27 +376,27 @@
         if kind != Kind::ExpiredWaiting {
             effects.push(Effect::Abort { call: id });
         }
-        effects.extend(self.failed(id, kind));
+        effects.extend(self.fail(id, kind));
         effects
     }
 
-    fn hear_pool(&mut self, pool: Pool, sum: bool, now: Millis) -> Vec<Effect> {
-        self.tree.hear(pool, sum, now);
+    fn record_pool(&mut self, pool: Pool, sum: bool, now: Millis) -> Vec<Effect> {
+        self.tree.record_answer(pool, sum, now);
         Vec::new()
     }
 
-    fn report(&mut self, call: CallId, report: &Report, now: Millis) -> Vec<Effect> {
-        let frame = Frame::Pool(self.tree.take(report, now));
+    fn receive_report(&mut self, call: CallId, report: &Report, now: Millis) -> Vec<Effect> {
+        let frame = Frame::Pool(self.tree.receive(report, now));
         vec![Effect::Finish { call, frame }]
     }
 
-    fn note(&mut self, note: Note) -> Vec<Effect> {
-        self.directory.note(note.chat, note.upstream, self.settings.chats);
+    fn update_directory(&mut self, note: Note) -> Vec<Effect> {
+        self.directory.insert(note.chat, note.upstream, self.settings.chats);
         Vec::new()
     }
 
-    fn peers(&mut self, peers: Vec<Peer>, now: Millis) -> Vec<Effect> {
-        self.tree.list(peers, now);
+    fn set_peers(&mut self, peers: Vec<Peer>, now: Millis) -> Vec<Effect> {
+        self.tree.set_members(peers, now);
         Vec::new()
     }
 
--- a/components/admission/tests/stateful.rs
+++ b/components/admission/tests/stateful.rs
@@ -1,4 +1,4 @@
-//! The sidecar's reducer against a simple oracle that records every run.
+//! Tests the reducer against a model that records every run.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,16 +12,13 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use wire::{Frame, Open};
 
-/// The seed of the histories, so that every run is the same.
 const SEED: u64 = 20_261_202;
 
-/// The bound of the tests.
 const BOUND: Bound = Bound { multiple: 1.25, floor: 40, margin: 0.0, extra: 0 };
 
-/// The slots of the tests.
 const SLOTS: usize = 3;
 
-/// What happens next; calls are named by how long ago they came.
+/// A step of a test. Calls are identified by the number of calls opened since.
 #[derive(Clone, Debug)]
 enum Step {
     Open { workspace: u8, weight: u64, key: Option<u8>, body: u8, remaining: u64, stale: bool },
@@ -36,7 +33,7 @@
     Restart,
 }
 
-/// The reference only bounds which calls may be named.
+/// Limits which calls a step may refer to.
 #[derive(Clone, Debug)]
 struct Reference {
     opened: usize,
@@ -81,47 +78,47 @@
     }
 }
 
-/// What the oracle knows of a call.
+/// The expected state of a call.
 #[derive(Clone, Debug)]
-#[expect(clippy::struct_excessive_bools, reason = "each is a fact of its own")]
+#[expect(clippy::struct_excessive_bools, reason = "independent flags")]
 struct Record {
     weight: u64,
     key: Option<u8>,
     runs: u32,
-    /// Handed over and not ended at the upstream.
+    /// Sent to the upstream and not ended.
     at_upstream: bool,
     answering: bool,
-    told_not_run: bool,
+    refused_as_not_run: bool,
     last_frames: u32,
     cancelled: bool,
     chunks: u64,
     opened_after_leave: bool,
 }
 
-struct Oracle {
+struct Model {
     state: State,
     now: Millis,
-    life: u64,
+    incarnation: u64,
     calls: BTreeMap<CallId, Record>,
     next: CallId,
     leaving: bool,
-    /// The life in which each key first came, as the platform's record has it.
+    /// The incarnation in which each key was first used.
     owners: BTreeMap<u8, u64>,
-    /// How often each key ran, over all lives.
+    /// The runs of each key, over all incarnations.
     key_runs: BTreeMap<u8, u32>,
-    /// Calls whose upstream the reducer had aborted.
+    /// Calls that the reducer aborted.
     aborted: BTreeSet<CallId>,
 }
 
-impl StateMachineTest for Oracle {
+impl StateMachineTest for Model {
     type SystemUnderTest = Self;
     type Reference = Reference;
 
     fn init_test(_: &Reference) -> Self {
         Self {
-            state: fresh(1),
+            state: new_state(1),
             now: Millis(1_000),
-            life: 1,
+            incarnation: 1,
             calls: BTreeMap::new(),
             next: 0,
             leaving: false,
@@ -141,7 +138,7 @@
     }
 }
 
-fn fresh(life: u64) -> State {
+fn new_state(incarnation: u64) -> State {
     let settings = Settings {
         bound: BOUND,
         slots: SLOTS,
@@ -151,39 +148,39 @@
         ..Settings::default()
     };
     let own = Peer { name: "e1".into(), address: "a".into() };
-    State::new(settings, own, life)
+    State::new(settings, own, incarnation)
 }
 
-impl Oracle {
-    #[expect(clippy::needless_pass_by_value, reason = "a step is used up")]
+impl Model {
+    #[expect(clippy::needless_pass_by_value, reason = "steps are passed by value")]
     fn step(&mut self, step: Step) {
         match step {
             Step::Open { workspace, weight, key, body, remaining, stale } => {
                 self.open(workspace, weight, key, body, remaining, stale);
             }
             Step::Cancel(back) => {
-                let call = self.named(back);
+                let call = self.call(back);
                 if let Some(record) = self.calls.get_mut(&call) {
                     record.cancelled = true;
                 }
                 self.apply(Event::Cancel { call });
             }
-            Step::Head(back) => self.upstream(back, false, |call| Event::Head {
+            Step::Head(back) => self.answer(back, false, |call| Event::Head {
                 call,
                 status: 200,
                 headers: Vec::new(),
             }),
-            Step::Chunk(back) => self.upstream(back, true, |call| Event::Chunk {
+            Step::Chunk(back) => self.answer(back, true, |call| Event::Chunk {
                 call,
                 bytes: Bytes::from_static(b"0123456789"),
             }),
             Step::Ended(back) => self.end(back, true, |call| Event::Ended { call }),
             Step::Failed(back, kind) => {
-                // A connection that never stood proves that nothing ran.
-                let call = self.named(back);
-                let answering = self.calls.get(&call).is_some_and(|it| it.answering);
+                // Without a connection to the upstream nothing has run.
+                let call = self.call(back);
+                let answering = self.calls.get(&call).is_some_and(|record| record.answering);
                 if kind == Kind::UpstreamDown && !answering && self.is_at_upstream(call) {
-                    self.take_back_run(call);
+                    self.undo_run(call);
                 }
                 if kind != Kind::UpstreamDown || !answering {
                     self.end(back, false, |call| Event::Failed { call, kind });
@@ -215,10 +212,10 @@
     ) {
         self.next += 1;
         let call = self.next;
-        let owner = key.map(|key| *self.owners.entry(key).or_insert(self.life));
+        let owner = key.map(|key| *self.owners.entry(key).or_insert(self.incarnation));
         let incarnation = match owner {
             Some(owner) => owner,
-            None if stale => self.life + 1,
+            None if stale => self.incarnation + 1,
             None => 0,
         };
         self.calls.insert(
@@ -229,7 +226,7 @@
                 runs: 0,
                 at_upstream: false,
                 answering: false,
-                told_not_run: false,
+                refused_as_not_run: false,
                 last_frames: 0,
                 cancelled: false,
                 chunks: 0,
@@ -260,21 +257,21 @@
             let (load, pool) = before;
             assert!(
                 load == 0 || load + weight <= BOUND.ceiling(pool, weight),
-                "{load} + {weight} was admitted above the bound of {pool:?}"
+                "{load} + {weight} exceeds the bound of {pool:?}"
             );
         }
     }
 
-    fn named(&self, back: usize) -> CallId {
+    fn call(&self, back: usize) -> CallId {
         self.next.saturating_sub(back as CallId)
     }
 
     fn is_at_upstream(&self, call: CallId) -> bool {
-        self.calls.get(&call).is_some_and(|it| it.at_upstream)
+        self.calls.get(&call).is_some_and(|record| record.at_upstream)
     }
 
-    fn upstream(&mut self, back: usize, answering: bool, event: impl Fn(CallId) -> Event) {
-        let call = self.named(back);
+    fn answer(&mut self, back: usize, answering: bool, event: impl Fn(CallId) -> Event) {
+        let call = self.call(back);
         let Some(record) = self.calls.get_mut(&call) else {
             return;
         };
@@ -286,7 +283,7 @@
     }
 
     fn end(&mut self, back: usize, answering: bool, event: impl Fn(CallId) -> Event) {
-        let call = self.named(back);
+        let call = self.call(back);
         let Some(record) = self.calls.get_mut(&call) else {
             return;
         };
@@ -297,7 +294,7 @@
         self.apply(event(call));
     }
 
-    fn take_back_run(&mut self, call: CallId) {
+    fn undo_run(&mut self, call: CallId) {
         let Some(record) = self.calls.get_mut(&call) else {
             return;
         };
@@ -307,11 +304,11 @@
         }
     }
 
-    /// The sidecar is killed; what it had in flight is never heard of again.
+    /// Kills the sidecar. Its calls in flight get no further events.
     fn restart(&mut self) {
-        self.life += 1;
+        self.incarnation += 1;
         self.leaving = false;
-        self.state = fresh(self.life);
+        self.state = new_state(self.incarnation);
         self.calls.clear();
     }
 
@@ -337,8 +334,8 @@
 
     fn run(&mut self, call: CallId) {
         let record = self.calls.get_mut(&call).expect("only known calls run");
-        assert!(!record.told_not_run, "call {call} ran after its caller was told that it did not");
-        assert!(!record.opened_after_leave, "call {call} came after the leave and ran");
+        assert!(!record.refused_as_not_run, "call {call} ran after it was refused as not run");
+        assert!(!record.opened_after_leave, "call {call} was opened after the leave and ran");
         record.runs += 1;
         record.at_upstream = true;
         assert_eq!(record.runs, 1, "call {call} ran twice");
@@ -363,11 +360,11 @@
         record.last_frames += 1;
         match frame {
             Frame::Refused(refused) if refused.kind.row().outcome == Outcome::NotRun => {
-                record.told_not_run = true;
-                assert_eq!(record.runs, 0, "call {call} ran and its caller was told otherwise");
+                record.refused_as_not_run = true;
+                assert_eq!(record.runs, 0, "call {call} ran and was refused as not run");
             }
             Frame::End(end) => {
-                assert_eq!(end.chunks, record.chunks, "call {call} was counted wrong");
+                assert_eq!(end.chunks, record.chunks, "call {call} has a wrong number of chunks");
             }
             _ => {}
         }
@@ -375,15 +372,15 @@
 
     fn check(&self) {
         assert!(self.state.running() <= SLOTS);
-        let at_upstream = self.calls.values().filter(|it| it.at_upstream).count();
-        assert_eq!(self.state.running(), at_upstream, "the count of running calls is wrong");
+        let at_upstream = self.calls.values().filter(|record| record.at_upstream).count();
+        assert_eq!(self.state.running(), at_upstream, "wrong number of running calls");
         let free = self.state.running() < SLOTS;
         assert!(!free || self.state.status().queued == 0, "a call waits though a slot is free");
-        let carried: u64 =
-            self.calls.values().filter(|it| it.at_upstream).map(|it| it.weight).sum();
-        assert!(self.state.load() >= carried, "less load is counted than is carried");
+        let running_load: u64 =
+            self.calls.values().filter(|record| record.at_upstream).map(|record| record.weight).sum();
+        assert!(self.state.load() >= running_load, "the load is less than that of the running calls");
         if self.state.in_flight() == 0 {
-            assert_eq!(self.state.load(), 0, "load is left over");
+            assert_eq!(self.state.load(), 0, "load remains without calls");
         }
     }
 }
@@ -397,5 +394,5 @@
     })]
 
     #[test]
-    fn the_sidecar_keeps_its_promises(sequential 1..200 => Oracle);
+    fn bound_slots_keys_and_refusals_hold_in_any_sequence(sequential 1..200 => Model);
 }
--- a/components/load/src/answer.rs
+++ b/components/load/src/answer.rs
@@ -1,30 +1,30 @@
-//! What came back.
+//! Answers.
 
 use std::time::Duration;
 
-/// A whole answer to a chat.
+/// A complete answer to a chat.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// The request's id.
+    /// The request id.
     pub request: String,
     /// The upstream that answered.
     pub upstream: String,
     /// The text.
     pub text: String,
-    /// The time to the first token, or to the whole answer if not streamed.
+    /// The time to the first token, or to the complete answer if not streamed.
     pub first: Duration,
-    /// The time to the end.
+    /// The time to the complete answer.
     pub whole: Duration,
-    /// The tokens of the prompt.
+    /// The number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Those of them that were found in the engine's cache.
+    /// The prompt tokens found in the engine's cache.
     pub cached_tokens: u64,
 }
 
-/// An answer to a call of a plain service.
+/// An answer of a plain service.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// The request's id.
+    /// The request id.
     pub request: String,
     /// The upstream that answered.
     pub upstream: String,
--- a/components/load/src/caller.rs
+++ b/components/load/src/caller.rs
@@ -1,4 +1,4 @@
-//! Asking the fleet.
+//! An HTTP client of the fleet.
 
 use std::time::{Duration, Instant};
 
@@ -15,13 +15,13 @@
 /// How long an idle connection is kept.
 const KEEP_ALIVE: Seconds = Seconds(3);
 
-/// The largest answer that is read, in bytes.
-const MAX_ANSWER: usize = 64 * 1024 * 1024;
+/// The largest accepted answer.
+const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
 
-/// How long a whole answer may take.
-const TIMEOUT: Duration = Duration::from_mins(2);
+/// How long a complete answer may take.
+const ANSWER_TIMEOUT: Duration = Duration::from_mins(2);
 
-/// One workspace's caller.
+/// A client that acts for one workspace.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: Client,
@@ -29,62 +29,62 @@
     token: String,
 }
 
-/// An answer that nobody reads.
+/// An answer that is not read. Dropping it cancels the request.
 #[derive(Debug)]
-pub struct Held(#[expect(dead_code, reason = "only its end matters")] ClientResponse);
+pub struct Held(#[expect(dead_code, reason = "held to keep the request open")] ClientResponse);
 
 /// One turn of a chat.
 #[derive(Clone, Debug)]
 pub struct Chat {
     /// The model.
     pub model: String,
-    /// What keeps the chat together.
+    /// The id of the chat.
     pub chat: String,
     /// The messages so far.
     pub messages: Vec<Value>,
-    /// The longest answer, in tokens.
+    /// The largest number of tokens in the answer.
     pub max_tokens: u64,
-    /// Whether the answer comes as a stream.
+    /// Whether the answer is streamed.
     pub stream: bool,
 }
 
 impl Caller {
-    /// A caller at `base` for a workspace and its key.
+    /// Creates a caller for the base URL, a workspace and its key.
     ///
     /// # Errors
     ///
-    /// The runtime can't make a client.
+    /// The client can't be created.
     pub async fn new(base: &str, workspace: &str, key: &str) -> Result<Self, Error> {
-        let client = process::client(KEEP_ALIVE, ntex::time::Millis::ZERO).await.map_err(broken)?;
+        let client = process::client(KEEP_ALIVE, ntex::time::Millis::ZERO).await.map_err(connection_error)?;
         Ok(Self { client, base: base.to_owned(), token: format!("{workspace}:{key}") })
     }
 
-    /// The same caller at another address.
+    /// Returns the caller with another base URL.
     #[must_use]
     pub fn at(&self, base: &str) -> Self {
         Self { base: base.to_owned(), ..self.clone() }
     }
 
-    /// Sends one turn of a chat and reads the whole answer.
+    /// Sends one turn of a chat and reads the complete answer.
     ///
     /// # Errors
     ///
-    /// Anything but a whole answer.
+    /// The answer is an error, incomplete or malformed, or takes too long.
     pub async fn chat(&self, chat: &Chat) -> Result<Answer, Error> {
-        let asked = Instant::now();
+        let started = Instant::now();
         let response = self.begin(chat).await?;
         let read = async {
-            if chat.stream { streamed(response, asked).await } else { whole(response, asked).await }
+            if chat.stream { streamed(response, started).await } else { whole(response, started).await }
         };
-        tokio::time::timeout(TIMEOUT, read).await.unwrap_or_else(|_| Err(broken("too slow")))
+        tokio::time::timeout(ANSWER_TIMEOUT, read).await.unwrap_or_else(|_| Err(connection_error("answer timed out")))
     }
 
-    /// Sends one turn of a chat and reads nothing of the answer; dropping what
-    /// comes back ends the request.
+    /// Sends one turn of a chat without reading the answer. Dropping the result cancels the
+    /// request.
     ///
     /// # Errors
     ///
-    /// The answer does not begin.
+    /// The request fails before an answer starts.
     pub async fn hold(&self, chat: &Chat) -> Result<Held, Error> {
         self.begin(chat).await.map(Held)
     }
@@ -98,14 +98,14 @@
             "prompt_cache_key": chat.chat,
         });
         let request = self.request("POST", "/v1/chat/completions");
-        accepted(request.send_json(&body).await.map_err(broken)?).await
+        check_status(request.send_json(&body).await.map_err(connection_error)?).await
     }
 
     /// Calls a plain service.
     ///
     /// # Errors
     ///
-    /// Anything but a whole answer.
+    /// The answer is an error, incomplete or malformed, or takes too long.
     pub async fn call(
         &self,
         kind: &str,
@@ -117,22 +117,22 @@
         if let Some(key) = key {
             request = request.header("idempotency-key", key);
         }
-        let response = request.send_body(body.to_owned()).await.map_err(broken)?;
-        let response = accepted(response).await?;
-        let (request, upstream) = names(&response);
-        let body = response.body().limit(MAX_ANSWER).await.map_err(broken)?;
+        let response = request.send_body(body.to_owned()).await.map_err(connection_error)?;
+        let response = check_status(response).await?;
+        let (request, upstream) = ids(&response);
+        let body = response.body().limit(MAX_ANSWER_BYTES).await.map_err(connection_error)?;
         Ok(Reply { request, upstream, body: String::from_utf8_lossy(&body).into_owned() })
     }
 
-    /// A fresh idempotency key of the fleet.
+    /// Requests a new idempotency key.
     ///
     /// # Errors
     ///
-    /// The fleet gave none.
+    /// The request fails.
     pub async fn key(&self, kind: &str) -> Result<String, Error> {
         let request = self.request("POST", &format!("/v1/keys/{kind}"));
-        let response = accepted(request.send().await.map_err(broken)?).await?;
-        let body: Value = response.json().await.map_err(broken)?;
+        let response = check_status(request.send().await.map_err(connection_error)?).await?;
+        let body: Value = response.json().await.map_err(connection_error)?;
         Ok(body["key"].as_str().unwrap_or("").to_owned())
     }
 
@@ -140,31 +140,31 @@
     ///
     /// # Errors
     ///
-    /// There is no such page, or it is not JSON.
+    /// The request fails, or the body is not JSON.
     pub async fn page(&self, path: &str) -> Result<Value, Error> {
-        let response = accepted(self.request("GET", path).send().await.map_err(broken)?).await?;
-        response.json().limit(MAX_ANSWER).await.map_err(broken)
+        let response = check_status(self.request("GET", path).send().await.map_err(connection_error)?).await?;
+        response.json().limit(MAX_ANSWER_BYTES).await.map_err(connection_error)
     }
 
     /// Reads a page as text.
     ///
     /// # Errors
     ///
-    /// There is no such page.
+    /// The request fails.
     pub async fn text(&self, path: &str) -> Result<String, Error> {
-        let response = accepted(self.request("GET", path).send().await.map_err(broken)?).await?;
-        let body = response.body().limit(MAX_ANSWER).await.map_err(broken)?;
+        let response = check_status(self.request("GET", path).send().await.map_err(connection_error)?).await?;
+        let body = response.body().limit(MAX_ANSWER_BYTES).await.map_err(connection_error)?;
         Ok(String::from_utf8_lossy(&body).into_owned())
     }
 
-    /// The status of a page.
+    /// Returns the HTTP status of a page.
     ///
     /// # Errors
     ///
     /// The connection failed.
     pub async fn status(&self, path: &str) -> Result<u16, Error> {
         let request = self.request("GET", path).timeout(Millis(2_000));
-        Ok(request.send().await.map_err(broken)?.status().as_u16())
+        Ok(request.send().await.map_err(connection_error)?.status().as_u16())
     }
 
     fn request(&self, method: &str, path: &str) -> ClientRequest {
@@ -173,68 +173,68 @@
     }
 }
 
-fn broken(fault: impl std::fmt::Display) -> Error {
-    Error::Connection { reason: fault.to_string() }
+fn connection_error(error: impl std::fmt::Display) -> Error {
+    Error::Connection { reason: error.to_string() }
 }
 
-async fn accepted(response: ClientResponse) -> Result<ClientResponse, Error> {
+async fn check_status(response: ClientResponse) -> Result<ClientResponse, Error> {
     let status = response.status().as_u16();
     if status == 200 {
         return Ok(response);
     }
-    let body = response.body().await.map_err(broken)?;
-    Err(Error::read(status, String::from_utf8_lossy(&body).into_owned()))
+    let body = response.body().await.map_err(connection_error)?;
+    Err(Error::parse(status, String::from_utf8_lossy(&body).into_owned()))
 }
 
-fn names(response: &ClientResponse) -> (String, String) {
+fn ids(response: &ClientResponse) -> (String, String) {
     let header = |name: &str| {
-        let value = response.header(name).and_then(|it| it.to_str().ok());
+        let value = response.header(name).and_then(|value| value.to_str().ok());
         value.unwrap_or("").to_owned()
     };
     (header("x-request-id"), header("x-upstream"))
 }
 
-async fn whole(response: ClientResponse, asked: Instant) -> Result<Answer, Error> {
-    let (request, upstream) = names(&response);
-    let body: Value = response.json().limit(MAX_ANSWER).await.map_err(broken)?;
+async fn whole(response: ClientResponse, started: Instant) -> Result<Answer, Error> {
+    let (request, upstream) = ids(&response);
+    let body: Value = response.json().limit(MAX_ANSWER_BYTES).await.map_err(connection_error)?;
     let text = body["choices"][0]["message"]["content"].as_str();
     let text = text.ok_or_else(|| Error::Malformed { reason: body.to_string() })?;
-    let mut answer = empty(request, upstream);
+    let mut answer = new_answer(request, upstream);
     answer.text.push_str(text);
-    count(&mut answer, &body["usage"]);
-    answer.first = asked.elapsed();
+    read_usage(&mut answer, &body["usage"]);
+    answer.first = started.elapsed();
     answer.whole = answer.first;
     Ok(answer)
 }
 
-async fn streamed(response: ClientResponse, asked: Instant) -> Result<Answer, Error> {
-    let (request, upstream) = names(&response);
-    let mut answer = empty(request, upstream);
+async fn streamed(response: ClientResponse, started: Instant) -> Result<Answer, Error> {
+    let (request, upstream) = ids(&response);
+    let mut answer = new_answer(request, upstream);
     let mut done = false;
     let mut events = response.eventsource();
     while let Some(event) = events.next().await {
-        let event = event.map_err(broken)?;
+        let event = event.map_err(connection_error)?;
         if event.data == "[DONE]" {
             done = true;
             continue;
         }
         let body: Value = serde_json::from_str(&event.data)
-            .map_err(|fault| Error::Malformed { reason: fault.to_string() })?;
+            .map_err(|error| Error::Malformed { reason: error.to_string() })?;
         if event.event == "error" {
-            return Err(Error::read(200, event.data));
+            return Err(Error::parse(200, event.data));
         }
         if answer.text.is_empty() {
-            answer.first = asked.elapsed();
+            answer.first = started.elapsed();
         }
         answer.text.push_str(body["choices"][0]["delta"]["content"].as_str().unwrap_or(""));
-        count(&mut answer, &body["usage"]);
+        read_usage(&mut answer, &body["usage"]);
     }
     ensure!(done, TruncatedSnafu { text: answer.text });
-    answer.whole = asked.elapsed();
+    answer.whole = started.elapsed();
     Ok(answer)
 }
 
-fn empty(request: String, upstream: String) -> Answer {
+fn new_answer(request: String, upstream: String) -> Answer {
     Answer {
         request,
         upstream,
@@ -246,7 +246,7 @@
     }
 }
 
-fn count(answer: &mut Answer, usage: &Value) {
+fn read_usage(answer: &mut Answer, usage: &Value) {
     if let Some(tokens) = usage["prompt_tokens"].as_u64() {
         answer.prompt_tokens = tokens;
         answer.cached_tokens =
--- a/components/load/src/error.rs
+++ b/components/load/src/error.rs
@@ -1,18 +1,18 @@
-//! Why a caller did not get a whole answer.
+//! Errors of a caller.
 
 use std::time::Duration;
 
 use serde_json::Value;
 use snafu::Snafu;
 
-/// What came instead of a whole answer.
+/// The reason why there is no complete answer.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The connection failed, or broke off.
-    #[snafu(display("the connection broke: {reason}"))]
+    /// The connection failed.
+    #[snafu(display("connection failed: {reason}"))]
     Connection {
-        /// What the client says.
+        /// The message of the HTTP client.
         reason: String,
     },
     /// The fleet answered with an error.
@@ -22,43 +22,43 @@
         status: u16,
         /// The body.
         body: String,
-        /// The error's kind, if the body names one.
+        /// The kind of the error, empty if the body has none.
         kind: String,
-        /// What is known about the run, if the body says so.
+        /// Whether the request ran, empty if the body does not say.
         outcome: String,
-        /// When to come back, if the body says so.
+        /// When to retry, if the body says so.
         retry_after: Option<Duration>,
     },
     /// The stream ended without its last event.
-    #[snafu(display("the answer is not whole: {text}"))]
+    #[snafu(display("stream ended early after: {text}"))]
     Truncated {
-        /// What came.
+        /// The text received.
         text: String,
     },
-    /// The answer can't be read.
-    #[snafu(display("the answer can't be read: {reason}"))]
+    /// The answer can't be parsed.
+    #[snafu(display("invalid answer: {reason}"))]
     Malformed {
-        /// What is wrong.
+        /// The parse error or the body.
         reason: String,
     },
 }
 
 impl Error {
-    /// The error in a body such as `{"error": …}`.
-    pub(crate) fn read(status: u16, body: String) -> Self {
+    /// Parses a body such as `{"error": …}`.
+    pub(crate) fn parse(status: u16, body: String) -> Self {
         let json: Value = serde_json::from_str(&body).unwrap_or_default();
         let error = &json["error"];
-        let word = |name: &str| error[name].as_str().unwrap_or("").to_owned();
+        let field = |name: &str| error[name].as_str().unwrap_or("").to_owned();
         Self::Refused {
             status,
-            kind: word("kind"),
-            outcome: word("outcome"),
+            kind: field("kind"),
+            outcome: field("outcome"),
             retry_after: error["retry_after_ms"].as_u64().map(Duration::from_millis),
             body,
         }
     }
 
-    /// The outcome that the fleet named, if it did.
+    /// The outcome in the answer, empty without one.
     pub fn outcome(&self) -> &str {
         match self {
             Self::Refused { outcome, .. } => outcome,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// When the fleet said to come back, if it did.
+    /// When to retry, if the answer says so.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Self::Refused { retry_after, .. } => *retry_after,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The kind that the fleet named, if it did.
+    /// The kind in the answer, empty without one.
     pub fn kind(&self) -> &str {
         match self {
             Self::Refused { kind, .. } => kind,
--- a/components/load/src/lib.rs
+++ b/components/load/src/lib.rs
@@ -1,4 +1,4 @@
-//! A caller of the fleet, for the laptop binary, the tests and the benchmark.
+//! A client of the fleet for the local binary, tests and benchmarks.
 
 mod answer;
 mod caller;
--- a/components/load/src/retry.rs
+++ b/components/load/src/retry.rs
@@ -1,29 +1,27 @@
-//! Coming back after a refusal.
+//! Retries after refusals.
 
 use crate::Error;
 
-/// How often a caller comes back.
-const MOST_RETURNS: u32 = 40;
+const MAX_RETRIES: u32 = 40;
 
-/// Sends a request, and again after each refusal that says that it did not run
-/// and when to come back.
+/// Sends a request, and retries it after refusals that say that it did not run and when to retry.
 ///
 /// # Errors
 ///
-/// Any other fault, or the last refusal.
+/// Any other error, or the last refusal.
 pub async fn retry<T, F>(send: impl Fn() -> F) -> Result<T, Error>
 where
     F: Future<Output = Result<T, Error>>,
 {
-    let mut left = MOST_RETURNS;
+    let mut left = MAX_RETRIES;
     loop {
         match send().await {
-            Err(fault) if left > 0 && fault.outcome() == "not_run" => {
-                let Some(after) = fault.retry_after() else { return Err(fault) };
+            Err(error) if left > 0 && error.outcome() == "not_run" => {
+                let Some(after) = error.retry_after() else { return Err(error) };
                 left -= 1;
                 tokio::time::sleep(after).await;
             }
-            end => return end,
+            result => return result,
         }
     }
 }
