--- a/components/permits/tests/issuer.rs
+++ b/components/permits/tests/issuer.rs
@@ -93,7 +93,7 @@
                 self.send_claim(self.claims.len() - 1);
             }
             Step::Repeat(which) if !self.claims.is_empty() => {
-                self.send_claim(which % self.claims.len());
+                self.send_claim(which % self.claims.len())
             }
             Step::Release { which, end } if !self.claims.is_empty() => {
                 let (router, claim) = &self.claims[which % self.claims.len()];
