--- a/components/admission/src/keys.rs
+++ b/components/admission/src/keys.rs
@@ -41,7 +41,12 @@
 
 impl Keys {
     /// Registers a key. A full table refuses new keys, as dropping one could run a request twice.
-    pub(crate) fn register(&mut self, key: &Arc<str>, digest: Digest, settings: &Settings) -> Action {
+    pub(crate) fn register(
+        &mut self,
+        key: &Arc<str>,
+        digest: Digest,
+        settings: &Settings,
+    ) -> Action {
         match self.records.get(key) {
             Some((known, _)) if *known != digest => Action::Refuse(Kind::KeyReused),
             Some((_, Record::Running)) => Action::Refuse(Kind::KeyBusy),
--- a/components/admission/src/state.rs
+++ b/components/admission/src/state.rs
@@ -225,7 +225,12 @@
         }
     }
 
-    fn start_answer(&mut self, id: CallId, status: u16, headers: Vec<(Arc<str>, Arc<str>)>) -> Vec<Effect> {
+    fn start_answer(
+        &mut self,
+        id: CallId,
+        status: u16,
+        headers: Vec<(Arc<str>, Arc<str>)>,
+    ) -> Vec<Effect> {
         let Some(call) = self.calls.get_mut(&id) else {
             return Vec::new();
         };
--- a/components/admission/tests/stateful.rs
+++ b/components/admission/tests/stateful.rs
@@ -376,9 +376,16 @@
         assert_eq!(self.state.running(), at_upstream, "wrong number of running calls");
         let free = self.state.running() < SLOTS;
         assert!(!free || self.state.status().queued == 0, "a call waits though a slot is free");
-        let running_load: u64 =
-            self.calls.values().filter(|record| record.at_upstream).map(|record| record.weight).sum();
-        assert!(self.state.load() >= running_load, "the load is less than that of the running calls");
+        let running_load: u64 = self
+            .calls
+            .values()
+            .filter(|record| record.at_upstream)
+            .map(|record| record.weight)
+            .sum();
+        assert!(
+            self.state.load() >= running_load,
+            "the load is less than that of the running calls"
+        );
         if self.state.in_flight() == 0 {
             assert_eq!(self.state.load(), 0, "load remains without calls");
         }
--- a/components/load/src/caller.rs
+++ b/components/load/src/caller.rs
@@ -55,7 +55,9 @@
     ///
     /// The client can't be created.
     pub async fn new(base: &str, workspace: &str, key: &str) -> Result<Self, Error> {
-        let client = process::client(KEEP_ALIVE, ntex::time::Millis::ZERO).await.map_err(connection_error)?;
+        let client = process::client(KEEP_ALIVE, ntex::time::Millis::ZERO)
+            .await
+            .map_err(connection_error)?;
         Ok(Self { client, base: base.to_owned(), token: format!("{workspace}:{key}") })
     }
 
@@ -74,9 +76,15 @@
         let started = Instant::now();
         let response = self.begin(chat).await?;
         let read = async {
-            if chat.stream { streamed(response, started).await } else { whole(response, started).await }
+            if chat.stream {
+                streamed(response, started).await
+            } else {
+                whole(response, started).await
+            }
         };
-        tokio::time::timeout(ANSWER_TIMEOUT, read).await.unwrap_or_else(|_| Err(connection_error("answer timed out")))
+        tokio::time::timeout(ANSWER_TIMEOUT, read)
+            .await
+            .unwrap_or_else(|_| Err(connection_error("answer timed out")))
     }
 
     /// Sends one turn of a chat without reading the answer. Dropping the result cancels the
@@ -142,7 +150,8 @@
     ///
     /// The request fails, or the body is not JSON.
     pub async fn page(&self, path: &str) -> Result<Value, Error> {
-        let response = check_status(self.request("GET", path).send().await.map_err(connection_error)?).await?;
+        let response =
+            check_status(self.request("GET", path).send().await.map_err(connection_error)?).await?;
         response.json().limit(MAX_ANSWER_BYTES).await.map_err(connection_error)
     }
 
@@ -152,7 +161,8 @@
     ///
     /// The request fails.
     pub async fn text(&self, path: &str) -> Result<String, Error> {
-        let response = check_status(self.request("GET", path).send().await.map_err(connection_error)?).await?;
+        let response =
+            check_status(self.request("GET", path).send().await.map_err(connection_error)?).await?;
         let body = response.body().limit(MAX_ANSWER_BYTES).await.map_err(connection_error)?;
         Ok(String::from_utf8_lossy(&body).into_owned())
     }
--- a/components/permits/src/issuer.rs
+++ b/components/permits/src/issuer.rs
@@ -233,11 +233,7 @@
             let full = upstream.in_flight >= upstream.limit.permits(self.objective, now);
             match release.end {
                 Finish::Answered => {
-                    upstream.limit.record_answer(
-                        Millis(u64::from(release.took_ms)),
-                        held,
-                        full,
-                    );
+                    upstream.limit.record_answer(Millis(u64::from(release.took_ms)), held, full);
                 }
                 Finish::Full => {
                     upstream.limit.record_refusal(upstream.in_flight, now);
@@ -311,8 +307,7 @@
         if free.is_empty() || self.queue.is_empty() {
             return None;
         }
-        let target =
-            |waiter: &Waiter| free.iter().find(|(name, _)| !waiter.avoid.contains(name));
+        let target = |waiter: &Waiter| free.iter().find(|(name, _)| !waiter.avoid.contains(name));
         let waiter = self.queue.pop(|waiter| target(waiter).is_some(), now)?;
         let upstream = target(&waiter)?.0.clone();
         Some((waiter, upstream))
--- a/components/permits/src/owner.rs
+++ b/components/permits/src/owner.rs
@@ -10,8 +10,7 @@
 /// chose it.
 pub fn owner<'a>(pool: &str, routers: &'a BTreeMap<Arc<str>, Peer>) -> Option<&'a Peer> {
     let key = placement::key("", pool);
-    let score =
-        |peer: &Peer| placement::score(key, &peer.name, f64::from(peer.strength.max(1)));
+    let score = |peer: &Peer| placement::score(key, &peer.name, f64::from(peer.strength.max(1)));
     let reachable = routers.values().filter(|peer| peer.hints.is_some());
     reachable.max_by(|one, other| score(one).total_cmp(&score(other)))
 }
--- a/components/permits/src/queue.rs
+++ b/components/permits/src/queue.rs
@@ -165,8 +165,7 @@
     pub fn pop(&mut self, fits: impl Fn(&Waiter) -> bool, now: Millis) -> Option<Waiter> {
         let indices: Vec<usize> =
             (0..self.waiting.len()).filter(|index| fits(&self.waiting[*index])).collect();
-        let next =
-            self.scheduler.next(indices.iter().map(|index| &self.waiting[*index]), now)?;
+        let next = self.scheduler.next(indices.iter().map(|index| &self.waiting[*index]), now)?;
         let waiter = self.waiting.remove(indices[next]);
         self.scheduler.advance(&waiter.workspace);
         self.scheduler.add_usage(&waiter.workspace, now);
--- a/components/permits/src/requester.rs
+++ b/components/permits/src/requester.rs
@@ -216,9 +216,8 @@
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "bounded")]
         let interval = (routers / self.rate.max(MIN_RATE)) as u64;
         if self.next_send > now {
-            let after = Millis(
-                now.until(self.next_send).0.clamp(MIN_RETRY_AFTER.0, MAX_RETRY_AFTER.0),
-            );
+            let after =
+                Millis(now.until(self.next_send).0.clamp(MIN_RETRY_AFTER.0, MAX_RETRY_AFTER.0));
             return Resolution::Refused(after.0);
         }
         self.next_send = now + Millis(interval);
@@ -247,11 +246,8 @@
             }
         }
         let releases: Vec<_> = self.releases.iter().map(|(release, _)| release.clone()).collect();
-        let held = if self.renewed.until(now) >= RENEWAL_INTERVAL {
-            self.renew(now)
-        } else {
-            Vec::new()
-        };
+        let held =
+            if self.renewed.until(now) >= RENEWAL_INTERVAL { self.renew(now) } else { Vec::new() };
         for (_, sends) in &mut self.releases {
             *sends -= 1;
         }
@@ -271,8 +267,7 @@
             by_upstream.entry(upstream).or_default().push(*number);
         }
         let held = by_upstream.into_iter().flat_map(|(upstream, numbers)| {
-            let held =
-                |chunk: &[u64]| Held { upstream: upstream.clone(), numbers: chunk.to_vec() };
+            let held = |chunk: &[u64]| Held { upstream: upstream.clone(), numbers: chunk.to_vec() };
             numbers.chunks(MAX_ENTRIES * MAX_ENTRIES).map(held).collect::<Vec<_>>()
         });
         held.collect()
--- a/components/permits/src/retries.rs
+++ b/components/permits/src/retries.rs
@@ -54,8 +54,7 @@
         }
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "bounded")]
         let gap = (1.0 / (RETRY_RATIO * rate_per_ms).max(0.001)).min(1_000.0) as u64;
-        self.latest =
-            (self.latest.max(now + soonest) + Millis(gap)).min(now + MAX_RETRY_AFTER);
+        self.latest = (self.latest.max(now + soonest) + Millis(gap)).min(now + MAX_RETRY_AFTER);
         if self.times.len() >= MAX_RETRIES {
             self.times.retain(|_, time| *time + RETENTION > now);
         }
--- a/components/permits/tests/limit.rs
+++ b/components/permits/tests/limit.rs
@@ -72,8 +72,7 @@
     for issuer in [&mut with_held, &mut listed] {
         issuer.set_upstreams(&[("up-0".into(), 40)]);
     }
-    let permits =
-        |issuer: &Issuer| issuer.upstreams(NOW).map(|upstream| upstream.1).sum::<usize>();
+    let permits = |issuer: &Issuer| issuer.upstreams(NOW).map(|upstream| upstream.1).sum::<usize>();
     assert_eq!(permits(&with_held), permits(&listed));
     // The same holds if the number of slots changes later.
     listed.set_upstreams(&[("up-0".into(), 6)]);
--- a/components/permits/tests/loads/main.rs
+++ b/components/permits/tests/loads/main.rs
@@ -55,7 +55,10 @@
             &Setup { routers, lost: 0.1, demand: 2.5, ..Setup::default() },
             MIN_UTILIZATION_DELAYED,
         );
-        check(&Setup { routers, duplicated: 0.3, demand: 2.5, ..Setup::default() }, MIN_UTILIZATION);
+        check(
+            &Setup { routers, duplicated: 0.3, demand: 2.5, ..Setup::default() },
+            MIN_UTILIZATION,
+        );
     }
 }
 
--- a/components/permits/tests/loads/world.rs
+++ b/components/permits/tests/loads/world.rs
@@ -200,8 +200,12 @@
         }
         if at.is_multiple_of(400) {
             let snapshot = self.owners[0].snapshot(now);
-            let short =
-                Short { pool: "plain".into(), owner: "o".into(), rate: snapshot.rate, lasts_ms: 1_500 };
+            let short = Short {
+                pool: "plain".into(),
+                owner: "o".into(),
+                rate: snapshot.rate,
+                lasts_ms: 1_500,
+            };
             self.requesters.iter_mut().for_each(|requester| requester.receive_saturation(&short));
         }
     }
@@ -214,8 +218,12 @@
         while new > 0.0 {
             if self.rng.random::<f64>() < new {
                 let workspace = self.workspace();
-                let request =
-                    Request { arrived: at, workspace, fingerprint: self.rng.random(), is_retry: false };
+                let request = Request {
+                    arrived: at,
+                    workspace,
+                    fingerprint: self.rng.random(),
+                    is_retry: false,
+                };
                 let hot = self.setup.hot_at_one && workspace == 0;
                 let router = if hot { 0 } else { self.rng.random_range(0..self.setup.routers) };
                 arrivals.push((router, request));
@@ -273,7 +281,8 @@
             let (number, arrived, work) = self.queued.remove(0);
             self.running.push((number, arrived, at + work));
         }
-        self.totals.max_in_flight = self.totals.max_in_flight.max(self.running.len() + self.queued.len());
+        self.totals.max_in_flight =
+            self.totals.max_in_flight.max(self.running.len() + self.queued.len());
     }
 
     fn answered(&mut self, number: u64, at: u64) {
@@ -368,7 +377,8 @@
                 if now.0 >= 2_000 {
                     self.totals.refused += 1;
                     let first = request.workspace == 0;
-                    let counts = if first { &mut self.totals.first } else { &mut self.totals.others };
+                    let counts =
+                        if first { &mut self.totals.first } else { &mut self.totals.others };
                     counts[1] += 1;
                     self.totals.retries[1] += usize::from(request.is_retry);
                 }
--- a/components/router/src/places.rs
+++ b/components/router/src/places.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use clock::Millis;
-use permits::{Resolution, Issuer, Decision, Snapshot, Requester};
+use permits::{Decision, Issuer, Requester, Resolution, Snapshot};
 use routing::Event;
 use spdlog::{debug, info};
 use tokio::sync::{Notify, oneshot};
@@ -87,7 +87,12 @@
 impl Places {
     /// Asks for a place; the answer comes once the owner, or this router in its place, has
     /// decided.
-    pub(crate) async fn ask(&self, core: &Core, pool: &Arc<str>, claim: Claim) -> Option<Resolution> {
+    pub(crate) async fn ask(
+        &self,
+        core: &Core,
+        pool: &Arc<str>,
+        claim: Claim,
+    ) -> Option<Resolution> {
         let (sender, answer) = oneshot::channel();
         self.waiting.borrow_mut().insert(claim.number, sender);
         self.requester(core, pool, |requester| requester.request(claim, core.clock.now()));
--- a/components/routing/src/admission.rs
+++ b/components/routing/src/admission.rs
@@ -56,7 +56,10 @@
             return usual;
         }
         let base_ms = flow.base_ms(priority);
-        Forecast { wait_ms: upstream.pace.expected_wait_ms(base_ms, usual.wait_ms, outlook.now), ..usual }
+        Forecast {
+            wait_ms: upstream.pace.expected_wait_ms(base_ms, usual.wait_ms, outlook.now),
+            ..usual
+        }
     }
 
     /// The same for a request that has come.
--- a/components/routing/src/admission/shares.rs
+++ b/components/routing/src/admission/shares.rs
@@ -79,7 +79,12 @@
         }
         let Some(request) = self.requests.get(&id) else { return };
         let pool = self.shares.pool(&request.pool);
-        pool.record_request(hash(&request.ask.workspace), request.priority, request.ask.content, now);
+        pool.record_request(
+            hash(&request.ask.workspace),
+            request.priority,
+            request.ask.content,
+            now,
+        );
     }
 
     /// Notes that a request is sent for the first time.
--- a/components/routing/tests/direct/shares.rs
+++ b/components/routing/tests/direct/shares.rs
@@ -191,7 +191,13 @@
         shares::Demand { workspace, priority: 5, requested: asked, served }
     };
     let lines = vec![line("hot", 2_000, 1_000), line("a", 500, 200), line("b", 500, 200)];
-    let word = shares::Summary { at: NOW, saturated: true, starving: lacks, demands: lines, ..Default::default() };
+    let word = shares::Summary {
+        at: NOW,
+        saturated: true,
+        starving: lacks,
+        demands: lines,
+        ..Default::default()
+    };
     let demands = Demands { router: "front-2".into(), pool: "engine".into(), word };
     state.apply(Event::Demands(demands), NOW);
     state
--- a/components/shares/src/pool.rs
+++ b/components/shares/src/pool.rs
@@ -42,13 +42,7 @@
 
 impl Pool {
     /// Counts a request of a workspace; `fingerprint` identifies retries.
-    pub fn record_request(
-        &mut self,
-        workspace: u64,
-        priority: i32,
-        fingerprint: u64,
-        now: Millis,
-    ) {
+    pub fn record_request(&mut self, workspace: u64, priority: i32, fingerprint: u64, now: Millis) {
         self.own.record_request(workspace, priority, fingerprint, now);
     }
 
@@ -143,8 +137,7 @@
         now: Millis,
     ) -> Vec<(u64, Standing)> {
         let view = self.new_view(&weight, now);
-        let standing =
-            |name: &u64| (*name, view.standing(*name, i32::MAX, weight(*name)));
+        let standing = |name: &u64| (*name, view.standing(*name, i32::MAX, weight(*name)));
         let mut all: Vec<_> = view.workspaces.keys().map(standing).collect();
         all.sort_by(|one, other| other.1.demand.total_cmp(&one.1.demand));
         all.truncate(count);
@@ -160,11 +153,8 @@
 
     fn new_view(&self, weight: impl Fn(u64) -> f64, now: Millis) -> View {
         let is_valid = |entry: &&(Millis, Summary)| entry.0.until(now) < SUMMARY_TTL;
-        let summaries = self
-            .summaries
-            .values()
-            .filter(is_valid)
-            .map(|entry| (entry.0.until(now), &entry.1));
+        let summaries =
+            self.summaries.values().filter(is_valid).map(|entry| (entry.0.until(now), &entry.1));
         View::new(self.own.iter(now), summaries, weight, now)
     }
 
--- a/components/shares/src/view.rs
+++ b/components/shares/src/view.rs
@@ -76,12 +76,7 @@
         for (age, summary) in summaries.clone() {
             for demand in &summary.demands {
                 let (requested, served) = (requests(demand.requested), requests(demand.served));
-                add(
-                    demand.workspace,
-                    demand.priority,
-                    requested * decay(age),
-                    served * decay(age),
-                );
+                add(demand.workspace, demand.priority, requested * decay(age), served * decay(age));
             }
         }
         let unknown = spread_remainders(&mut workspaces, summaries.clone());
@@ -154,8 +149,7 @@
     let mut each = (0.0, 0.0);
     let mut unknown = (0.0_f64, 0.0, 0.0);
     for (age, summary) in summaries {
-        let mut listed: Vec<u64> =
-            summary.demands.iter().map(|demand| demand.workspace).collect();
+        let mut listed: Vec<u64> = summary.demands.iter().map(|demand| demand.workspace).collect();
         listed.sort_unstable();
         listed.dedup();
         let others = known - to_f64(listed.len());
--- a/components/shares/tests/pool.rs
+++ b/components/shares/tests/pool.rs
@@ -35,7 +35,13 @@
 fn summary(at: u64, workspace: u64, requested: u32, served: u32) -> Summary {
     let (requested, served) = (10 * requested, 10 * served);
     let demand = Demand { workspace, priority: URGENT, requested, served };
-    Summary { at: Millis(at), saturated: true, starving: true, demands: vec![demand], remainder: Remainder::default() }
+    Summary {
+        at: Millis(at),
+        saturated: true,
+        starving: true,
+        demands: vec![demand],
+        remainder: Remainder::default(),
+    }
 }
 
 fn other() -> Arc<str> {
@@ -193,8 +199,14 @@
     pool.mark_saturated(NOW);
     let summary = pool.summarize(NOW).expect("the pool is saturated");
     assert_eq!(summary.demands.len(), MAX_DEMANDS);
-    assert_eq!(summary.demands[0], Demand { workspace: HOT, priority: URGENT, requested: 400, served: 200 });
-    assert_eq!(summary.remainder, Remainder { workspaces: 1_768, requested: 17_680, served: 17_680 });
+    assert_eq!(
+        summary.demands[0],
+        Demand { workspace: HOT, priority: URGENT, requested: 400, served: 200 }
+    );
+    assert_eq!(
+        summary.remainder,
+        Remainder { workspaces: 1_768, requested: 17_680, served: 17_680 }
+    );
 }
 
 #[test]
@@ -253,7 +265,10 @@
     pool.receive(&other(), summary(1, HOT, 30, 10), NOW);
     assert!(pool.is_starving(NOW + Millis(700)));
     assert!(!pool.is_starving(NOW + Millis(900)));
-    assert!(pool.summarize(NOW).is_some_and(|summary| !summary.starving), "reported starvation is not passed on");
+    assert!(
+        pool.summarize(NOW).is_some_and(|summary| !summary.starving),
+        "reported starvation is not passed on"
+    );
     pool.mark_starving(NOW);
     assert!(pool.summarize(NOW).is_some_and(|summary| summary.starving));
 }
--- a/components/shares/tests/views.rs
+++ b/components/shares/tests/views.rs
@@ -79,7 +79,8 @@
         }
         in_transit.retain(|(at, from, summary)| {
             let arrived = *at <= now;
-            for to in (0..network.routers.min(OBSERVED_ROUTERS)).filter(|to| arrived && to != from) {
+            for to in (0..network.routers.min(OBSERVED_ROUTERS)).filter(|to| arrived && to != from)
+            {
                 routers[to].receive(&Arc::from(format!("front-{from}")), summary.clone(), now);
             }
             !arrived
@@ -123,13 +124,15 @@
 /// their shares, and the error.
 fn row(outcome: &mut Outcome) -> String {
     let now = outcome.now;
-    let names: Vec<u64> = fractions(&outcome.truth, now).into_keys().filter(|name| *name != HOT).collect();
+    let names: Vec<u64> =
+        fractions(&outcome.truth, now).into_keys().filter(|name| *name != HOT).collect();
     let mut row = String::new();
     let mut others = 0;
     for view in &mut outcome.views {
         let hot = view.standing(HOT, LESS_URGENT, |_| 1.0, now).rank;
-        let over =
-            |name: &&u64| view.standing(**name, LESS_URGENT, |_| 1.0, now).rank.excess_ratio() > 1.0;
+        let over = |name: &&u64| {
+            view.standing(**name, LESS_URGENT, |_| 1.0, now).rank.excess_ratio() > 1.0
+        };
         others = others.max(names.iter().filter(over).count());
         let _ = write!(row, "{} {:.1}; ", hot.name(), hot.excess_ratio());
     }
@@ -145,8 +148,7 @@
 
 /// 40 workspaces with two priorities, the less urgent one at 2.3 times its usual rate.
 fn one_kind() -> Load {
-    let both =
-        |workspace| [(workspace, URGENT, 5.0), (workspace, LESS_URGENT, 5.0 * 2.3)];
+    let both = |workspace| [(workspace, URGENT, 5.0), (workspace, LESS_URGENT, 5.0 * 2.3)];
     Load { rates: (0..40).flat_map(both).collect(), served: 0.7, hot_router: None }
 }
 
--- a/components/wire/tests/codec.rs
+++ b/components/wire/tests/codec.rs
@@ -39,10 +39,21 @@
 }
 
 fn demands(at: u64, lines: Vec<(u64, i32, u32, u32)>) -> Demands {
-    let line = |(workspace, priority, asked, served)| Demand { workspace, priority, requested: asked, served };
+    let line = |(workspace, priority, asked, served)| Demand {
+        workspace,
+        priority,
+        requested: asked,
+        served,
+    };
     let lines = lines.into_iter().map(line).collect();
     let rest = Remainder { workspaces: 3, requested: 70, served: 20 };
-    let word = Summary { at: Millis(at), saturated: true, starving: false, demands: lines, remainder: rest };
+    let word = Summary {
+        at: Millis(at),
+        saturated: true,
+        starving: false,
+        demands: lines,
+        remainder: rest,
+    };
     Demands { router: "front-1".into(), pool: "engine".into(), word }
 }
 
