--- a/components/experiment/src/overload/fleet.rs
+++ b/components/experiment/src/overload/fleet.rs
@@ -115,7 +115,7 @@
         let routers = (0..ROUTERS).map(|place| {
             let mut state = State::new(settings.clone(), seed + place as u64);
             state.apply(Event::Configure(plan.clone()), Millis::ZERO);
-            state.apply(Event::Routers(ROUTERS), Millis::ZERO);
+            state.apply(Event::RouterCount(ROUTERS), Millis::ZERO);
             state
         });
         let engine = Engine::new(pattern.is_short_of_memory());
@@ -160,7 +160,7 @@
             Happening::Step(engine) => self.step(engine),
             Happening::Answer { owner, signal } => self.answer(owner, signal),
             Happening::Silence { owner, timeout } => self.silence(owner, timeout),
-            Happening::Waited { router, id } => self.apply(router, id, Event::Waited { id }),
+            Happening::Waited { router, id } => self.apply(router, id, Event::WaitElapsed { id }),
             Happening::Loads => self.tell_loads(),
             Happening::Waits => self.tell_waits(),
             Happening::Change => self.change(),
@@ -200,10 +200,10 @@
                 Effect::Head(_) => self.begin(router, id),
                 Effect::Finish => self.finish(router, id),
                 Effect::Fail(answer) => self.fail(router, id, &answer),
-                Effect::Cut(_) => self.end(router, id, End::Failed),
-                Effect::Share(warm) => {
+                Effect::Abort(_) => self.end(router, id, End::Failed),
+                Effect::PublishPrefixes(warm) => {
                     for other in (0..ROUTERS).filter(|it| *it != router) {
-                        self.routers[other].apply(Event::Warm(warm.clone()), self.now);
+                        self.routers[other].apply(Event::WarmPrefixes(warm.clone()), self.now);
                     }
                 }
                 _ => {}
--- a/components/experiment/src/overload/fleet/callers.rs
+++ b/components/experiment/src/overload/fleet/callers.rs
@@ -3,7 +3,7 @@
 use clock::Millis;
 use errors::{Answer, Outcome};
 use rand::Rng;
-use routing::{Ask, Event, Part};
+use routing::{Arrival, Event, Prefix};
 
 use super::names::{part, whole};
 use super::{Caller, Fleet, Happening, Open, ROUTERS};
@@ -52,20 +52,20 @@
         };
         self.open.insert((router, id), open);
         self.queue.add(deadline, Happening::GiveUp { router, id });
-        let ask = Ask {
+        let ask = Arrival {
             id,
             request: format!("r-{id}").into(),
             workspace: "w".into(),
             kind: caller.kind.name.into(),
             model: Some("m".into()),
-            content: id,
+            fingerprint: id,
             chat: format!("{}-{}", caller.kind.name, caller.chat).into(),
-            shared: vec![Part { hash: part(&caller), tokens: caller.kind.shared }],
-            once: None,
+            prefixes: vec![Prefix { hash: part(&caller), tokens: caller.kind.shared }],
+            idempotency_key: None,
             weight: 1,
             deadline: Some(self.now.until(deadline)),
         };
-        self.apply(router, id, Event::Ask(ask));
+        self.apply(router, id, Event::Arrival(ask));
     }
 
     pub(super) fn begin(&mut self, router: usize, id: u64) {
@@ -101,7 +101,7 @@
     pub(super) fn give_up(&mut self, router: usize, id: u64) {
         if self.open.contains_key(&(router, id)) {
             self.report.expired += 1;
-            self.apply(router, id, Event::Quit { id });
+            self.apply(router, id, Event::Cancel { id });
             self.end(router, id, End::Failed);
         }
     }
--- a/components/experiment/src/overload/fleet/engines.rs
+++ b/components/experiment/src/overload/fleet/engines.rs
@@ -23,7 +23,7 @@
         let owner = Owner { router, id, attempt: attempt.number };
         let kind = open.caller.kind;
         let part = part(&open.caller);
-        let source = attempt.warm.as_deref().map(source);
+        let source = attempt.copy_from.as_deref().map(source);
         // Where memory is short the source may have dropped the part, too.
         let holds = |it: usize| !self.pattern.is_short_of_memory() || self.engines[it].holds(part);
         let copied = source.is_some_and(holds);
@@ -89,7 +89,9 @@
         }
         open.heard = self.now;
         match signal {
-            Signal::Lost => self.apply(router, id, Event::Lost { id, attempt, sent: true }),
+            Signal::Lost => {
+                self.apply(router, id, Event::ConnectionFailed { id, attempt, sent: true })
+            }
             Signal::Refused => {
                 let reply = Reply::Refused(refused());
                 self.apply(router, id, Event::Reply { id, attempt, reply });
--- a/components/experiment/src/overload/fleet/hints.rs
+++ b/components/experiment/src/overload/fleet/hints.rs
@@ -23,7 +23,7 @@
         for router in 0..ROUTERS {
             let outcomes = self.routers[router].outcomes();
             self.tell(router, &Event::Outcomes(outcomes));
-            let delays = self.routers[router].delays();
+            let delays = self.routers[router].take_delays();
             self.tell(router, &Event::Delays(delays));
             for demands in self.routers[router].demands(&router_name(router), self.now) {
                 self.tell(router, &Event::Demands(demands));
--- a/components/experiment/src/slopes.rs
+++ b/components/experiment/src/slopes.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use clock::Millis;
 use intents::Plan;
-use routing::{Ask, Event, Reply};
+use routing::{Arrival, Event, Reply};
 use wire::{Admitted, End, Frame, Head, Open, Report, Status, Welcome};
 
 use crate::{document, hosts};
@@ -75,7 +75,7 @@
     let before = meter();
     let started = Instant::now();
     for id in 0..requests {
-        state.apply(Event::Ask(ask(id as u64)), Millis(1));
+        state.apply(Event::Arrival(ask(id as u64)), Millis(1));
     }
     let micros = micros(started, requests);
     Point { size: requests, micros, bytes: meter().saturating_sub(before) }
@@ -199,22 +199,22 @@
     state.apply(Event::Hosts(list), Millis::ZERO);
     for name in names {
         let status = Status { incarnation: 1, ..Status::default() };
-        state.apply(Event::Met(Welcome { name, status }), Millis::ZERO);
+        state.apply(Event::Connected(Welcome { name, status }), Millis::ZERO);
     }
     state
 }
 
-fn ask(id: u64) -> Ask {
-    Ask {
+fn ask(id: u64) -> Arrival {
+    Arrival {
         id,
         request: format!("entry-17-1a236c6ad5d-{id:x}").into(),
         workspace: format!("workspace-{}", id % 10).into(),
         kind: "chat".into(),
         model: Some(format!("model-{}", id % MODELS as u64).into()),
-        content: id,
+        fingerprint: id,
         chat: format!("chat-{id}").into(),
-        once: None,
-        shared: Vec::new(),
+        idempotency_key: None,
+        prefixes: Vec::new(),
         weight: 1_000,
         deadline: None,
     }
@@ -222,7 +222,7 @@
 
 /// A whole request of one chunk.
 fn serve(state: &mut routing::State, id: u64) {
-    state.apply(Event::Ask(ask(id)), Millis(id));
+    state.apply(Event::Arrival(ask(id)), Millis(id));
     let status = Status { incarnation: 1, ..Status::default() };
     let frames = [
         Frame::Admitted(Admitted { status }),
--- a/components/experiment/src/world.rs
+++ b/components/experiment/src/world.rs
@@ -16,7 +16,7 @@
 use placement::Pool;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use routing::Ask;
+use routing::Arrival;
 use wire::{Frame, Open};
 
 use crate::cache::Cache;
@@ -111,7 +111,7 @@
             router.apply(routing::Event::Hosts(list.clone()), Millis::ZERO);
             for (peer, sidecar) in peers.iter().zip(&sidecars) {
                 let welcome = wire::Welcome { name: peer.name.clone(), status: sidecar.status() };
-                router.apply(routing::Event::Met(welcome), Millis::ZERO);
+                router.apply(routing::Event::Connected(welcome), Millis::ZERO);
             }
         }
         let by_name =
@@ -219,7 +219,11 @@
                 self.apply_sidecar(sidecar, admission::Event::Report { call, report });
             }
             Event::Lost { router, id, attempt, sent } => {
-                self.apply_router(router, id, routing::Event::Lost { id, attempt, sent });
+                self.apply_router(
+                    router,
+                    id,
+                    routing::Event::ConnectionFailed { id, attempt, sent },
+                );
             }
             Event::Vanish => {
                 for place in (0..self.gone.len()).step_by(self.setup.loss.map_or(1, |it| it.every))
@@ -255,23 +259,23 @@
         self.next_id += 1;
         let chat = self.random.random_range(0..load.chats);
         self.chats.insert(self.next_id, chat << 8 | load.workspace as u64);
-        let ask = Ask {
+        let ask = Arrival {
             id: self.next_id,
             request: format!("r{}", self.next_id).into(),
             workspace: format!("workspace-{}", load.workspace).into(),
             kind: "chat".into(),
             model: Some("model-0".into()),
-            content: self.next_id,
+            fingerprint: self.next_id,
             chat: format!("chat-{chat}").into(),
-            once: None,
-            shared: Vec::new(),
+            idempotency_key: None,
+            prefixes: Vec::new(),
             weight: self.random.random_range(load.least..=load.greatest),
             deadline: None,
         };
         self.outcome.asked += 1;
         let router = self.random.random_range(0..self.routers.len());
         let id = ask.id;
-        let effects = self.routers[router].apply(routing::Event::Ask(ask), self.now);
+        let effects = self.routers[router].apply(routing::Event::Arrival(ask), self.now);
         self.carry_out(router, id, effects);
     }
 
@@ -291,13 +295,13 @@
                     let event = Event::ToSidecar { router, id, attempt, sidecar, open };
                     self.queue.add(self.later(), event);
                 }
-                routing::Effect::Note { upstream, note, .. } => {
+                routing::Effect::UpdateDirectory { upstream, note, .. } => {
                     self.outcome.notes += 1;
                     let sidecar = self.by_name[&upstream];
                     self.queue.add(self.later(), Event::Note { sidecar, note });
                 }
                 routing::Effect::Finish => self.outcome.answered += 1,
-                routing::Effect::Fail(_) | routing::Effect::Cut(_) => self.outcome.refused += 1,
+                routing::Effect::Fail(_) | routing::Effect::Abort(_) => self.outcome.refused += 1,
                 _ => {}
             }
         }
@@ -364,7 +368,7 @@
         attempt: attempt.number,
         workspace: "workspace-0".into(),
         chat: attempt.chat,
-        home: attempt.home,
+        home: attempt.is_home,
         priority: 0,
         remaining_ms: attempt.remaining.0,
         weight: attempt.weight,
--- a/components/experiment/src/world/faults.rs
+++ b/components/experiment/src/world/faults.rs
@@ -85,7 +85,7 @@
             router.apply(routing::Event::Hosts(list.clone()), self.now);
             for (name, status) in &welcomes {
                 let welcome = wire::Welcome { name: name.clone(), status: *status };
-                router.apply(routing::Event::Met(welcome), self.now);
+                router.apply(routing::Event::Connected(welcome), self.now);
             }
         }
         for place in 0..self.sidecars.len() {
--- a/components/router/src/background.rs
+++ b/components/router/src/background.rs
@@ -113,13 +113,13 @@
 async fn connect(core: Rc<Core>, upstream: Arc<str>, address: Arc<str>) {
     match core.links.connect(&upstream, &address).await {
         Ok(Some(welcome)) => {
-            core.apply(Event::Met(welcome));
+            core.apply(Event::Connected(welcome));
         }
         Ok(None) => {
             core.apply(Event::Alive { upstream });
         }
         Err(_) => {
-            core.apply(Event::Missed { upstream });
+            core.apply(Event::Unreachable { upstream });
         }
     }
 }
@@ -154,7 +154,7 @@
 async fn send_notes(core: Rc<Core>, mut outbox: Receiver<Effect>) {
     let timeout = Duration::from_millis(core.settings.connect_ms);
     while let Some(effect) = outbox.recv().await {
-        let Effect::Note { upstream, address, note } = effect else { continue };
+        let Effect::UpdateDirectory { upstream, address, note } = effect else { continue };
         let frame = Frame::Note(note);
         core.metrics.control("note", wire::encode(&frame).map_or(0, |it| it.len()));
         let told = async {
--- a/components/router/src/core.rs
+++ b/components/router/src/core.rs
@@ -139,7 +139,7 @@
                 self.stop.finish();
                 false
             }
-            Effect::Share(warm) => {
+            Effect::PublishPrefixes(warm) => {
                 self.share(warm);
                 false
             }
@@ -148,48 +148,48 @@
                 report::suspected(upstream, *failures, *reachable, pause);
                 false
             }
-            Effect::Revive { upstream } => {
+            Effect::Recovered { upstream } => {
                 report::revived(upstream);
                 false
             }
-            Effect::Leave { upstream } => {
+            Effect::Leaving { upstream } => {
                 self.metrics.belief("upstream_leaves");
                 report::leaves(upstream);
                 false
             }
-            Effect::Rest { upstream, lasts } => {
+            Effect::Backoff { upstream, duration } => {
                 self.metrics.belief("upstream_rests");
-                report::rests(upstream, *lasts);
+                report::rests(upstream, *duration);
                 false
             }
             Effect::Check { upstream, address } => {
                 self.crashes.check(upstream, address);
                 false
             }
-            Effect::Report(crashes) => {
+            Effect::ReportCrashes(crashes) => {
                 report::crashed(crashes);
                 self.tell_ended(crashes);
                 self.crashes.add(crashes);
                 false
             }
-            Effect::Clear(clearing) => {
+            Effect::ReportCleared(clearing) => {
                 self.metrics.belief("work_cleared");
                 report::cleared(clearing.content);
                 self.tell_cleared(clearing.content);
                 self.crashes.clear(clearing);
                 false
             }
-            Effect::Release { pool, number, end, took } => {
+            Effect::Release { pool, number, end, elapsed: took } => {
                 self.places.release(self, pool, *number, *end, *took);
                 false
             }
-            Effect::RunsShort { pool } => {
+            Effect::ReportSaturation { pool } => {
                 self.places.runs_short(self, pool);
                 false
             }
-            Effect::HoldBack { content, lasts } => {
+            Effect::Quarantine { fingerprint, duration } => {
                 self.metrics.belief("work_held_back");
-                report::held_back(*content, *lasts);
+                report::held_back(*fingerprint, *duration);
                 false
             }
             _ => true,
@@ -209,12 +209,12 @@
 
     /// The upstreams of a pool that may be sent to, and their slots.
     pub(crate) fn places_of(&self, pool: &str) -> Vec<(Arc<str>, u64)> {
-        self.state.borrow().places(pool, self.clock.now())
+        self.state.borrow().available_slots(pool, self.clock.now())
     }
 
     /// How old the proof is that the configuration in force is the newest.
     pub(crate) fn proof_ms(&self) -> Option<u64> {
-        self.state.borrow().proof_ms(self.clock.now())
+        self.state.borrow().confirmation_age_ms(self.clock.now())
     }
 
     /// Tells the other routers where parts of prompts are warm.
@@ -254,7 +254,7 @@
 
     /// What is known of warm parts, and how often it has changed.
     pub(crate) fn warm_parts(&self) -> (u64, Vec<Warm>) {
-        self.state.borrow().warm_parts()
+        self.state.borrow().warm_prefixes()
     }
 
     /// What answers have told of loads since this was asked last.
@@ -274,7 +274,7 @@
 
     /// How long requests have waited since this was asked last.
     pub(crate) fn delays(&self) -> Vec<Delay> {
-        self.state.borrow_mut().delays()
+        self.state.borrow_mut().take_delays()
     }
 
     /// What is asked of the pools that are short.
@@ -320,7 +320,7 @@
     /// Whether the configuration is new enough to say that something is
     /// unknown.
     pub(crate) fn knows_all(&self) -> bool {
-        self.state.borrow().is_proved(self.settings.routing.unknown_ms, self.clock.now())
+        self.state.borrow().is_confirmed_within(self.settings.routing.unknown_ms, self.clock.now())
     }
 
     /// Hands a note to the task that sends them; nobody waits for it, and it is
@@ -348,7 +348,7 @@
         self.metrics.request(kind.row().outcome.into(), Some(error));
         let state = self.state.borrow();
         let generation = state.plan().map_or(0, |it| it.generation());
-        report::refused(request, error, generation, state.proof_ms(self.clock.now()));
+        report::refused(request, error, generation, state.confirmation_age_ms(self.clock.now()));
     }
 
     /// A number for a new request, and the id that others see: the router, its
@@ -369,7 +369,7 @@
     }
 
     pub(crate) fn owner(&self, workspace: &str, kind: &str, seed: &str) -> Option<Owner> {
-        self.state.borrow_mut().owner(workspace, kind, seed, self.clock.now())
+        self.state.borrow_mut().choose_owner(workspace, kind, seed, self.clock.now())
     }
 
     pub(crate) fn status(&self) -> serde_json::Value {
--- a/components/router/src/direct.rs
+++ b/components/router/src/direct.rs
@@ -89,12 +89,12 @@
             upstream: &attempt.upstream,
             workspace,
             priority: template.events.then_some(attempt.priority),
-            warm: attempt.warm.as_deref(),
+            warm: attempt.copy_from.as_deref(),
             last_event: progress.event.filter(|_| attempt.resume),
         };
         let outgoing = outgoing(core, template, &sending);
         let (client, address) = (core.client().clone(), attempt.address.clone());
-        let fresh = attempt.fresh;
+        let fresh = attempt.new_connection;
         let answer = Box::pin(async move { client.send(address, outgoing, fresh).await });
         Self {
             core: core.clone(),
@@ -184,13 +184,13 @@
             self.core.apply(Event::Load { upstream, requests, waiting });
         }
         if let Some(left) = told.cold {
-            self.core.apply(Event::Cold { upstream: self.upstream.clone(), left });
+            self.core.apply(Event::Cold { upstream: self.upstream.clone(), remaining: left });
         }
         if let Some(lasts) = told.rest {
-            self.core.apply(Event::Rests { upstream: self.upstream.clone(), lasts });
+            self.core.apply(Event::Backoff { upstream: self.upstream.clone(), duration: lasts });
         }
         if told.leaving {
-            self.core.apply(Event::Leaves { upstream: self.upstream.clone() });
+            self.core.apply(Event::Leaving { upstream: self.upstream.clone() });
         }
     }
 
--- a/components/router/src/feed.rs
+++ b/components/router/src/feed.rs
@@ -71,7 +71,7 @@
         memory,
         unreadable: BTreeSet::new(),
     };
-    feed.core.apply(Event::Routers(ASSUMED_ROUTERS));
+    feed.core.apply(Event::RouterCount(ASSUMED_ROUTERS));
     feed.meet_fleet().await;
     let mut sleep = Sleep::new(feed.core.clock);
     loop {
@@ -154,7 +154,7 @@
                     self.tell_follows();
                 }
                 if self.proves() {
-                    self.core.apply(Event::Current { at: started });
+                    self.core.apply(Event::ConfigurationConfirmed { at: started });
                 }
                 self.core.fleet().tell_news();
                 self.pause(look.min(FOLLOWER_PAUSE))
--- a/components/router/src/feed/facts.rs
+++ b/components/router/src/feed/facts.rs
@@ -96,7 +96,7 @@
             info!("warm parts recalled", kv: { upstreams = warm.len(), parts });
         }
         for warm in warm {
-            self.core.apply(Event::Warm(warm));
+            self.core.apply(Event::WarmPrefixes(warm));
         }
     }
 
@@ -219,7 +219,7 @@
         for (upstream, left) in cold {
             self.core.metrics.belief("upstream_cold");
             info!("upstream is cold", kv: { upstream = &*upstream, ms = left.0 });
-            self.core.apply(Event::Cold { upstream, left });
+            self.core.apply(Event::Cold { upstream, remaining: left });
         }
     }
 
@@ -249,7 +249,7 @@
         }
         self.most_routers = routers;
         info!("routers counted", kv: { routers });
-        self.core.apply(Event::Routers(routers));
+        self.core.apply(Event::RouterCount(routers));
     }
 
     /// Compiles a configuration and hands it to the reducer.
--- a/components/router/src/feed/others.rs
+++ b/components/router/src/feed/others.rs
@@ -73,7 +73,7 @@
         // The question came there after it was asked, and the answer began `held_ms` later.
         let proof = news.proof_ms.map(|it| asked + Millis(news.held_ms) - Millis(it) - ROUNDING);
         if let Some(at) = proof.filter(|_| self.proves()) {
-            self.core.apply(Event::Current { at });
+            self.core.apply(Event::ConfigurationConfirmed { at });
             // What changed meanwhile is known: there is no long history to be read.
             if self.lost.take_if(|since| *since <= at).is_some() {
                 self.reads_anew = false;
--- a/components/router/src/hints.rs
+++ b/components/router/src/hints.rs
@@ -186,7 +186,7 @@
     match frame {
         Frame::Warm(warm) => take_warm(core, warm),
         Frame::Heard(heard) => {
-            core.apply(Event::Heard(heard));
+            core.apply(Event::Observations(heard));
         }
         Frame::Loads(loads) => {
             core.apply(Event::Loads(loads));
@@ -216,7 +216,7 @@
     if let Some(peers) = core.peers() {
         peers.tally(&warm);
     }
-    core.apply(Event::Warm(warm));
+    core.apply(Event::WarmPrefixes(warm));
 }
 
 /// Takes ends of an upstream from another router, as of now: its clock may differ.
--- a/components/router/src/http.rs
+++ b/components/router/src/http.rs
@@ -10,7 +10,7 @@
 use futures_util::stream;
 use ntex::web::types::{Path, Payload, State};
 use ntex::web::{self, HttpRequest, HttpResponse};
-use routing::Ask;
+use routing::Arrival;
 use serde_json::json;
 
 use crate::answer::{self, REQUEST_ID, UPSTREAM, event};
@@ -145,16 +145,16 @@
     let kind = header(&request, "x-request-kind").unwrap_or(DEFAULT_KIND);
     let mut template = template(&request, "/v1/chat/completions".to_owned(), body);
     template.say_json();
-    let ask = Ask {
+    let ask = Arrival {
         id: caller.id,
-        content: template.content(&caller.workspace),
+        fingerprint: template.content(&caller.workspace),
         request: caller.request,
         workspace: caller.workspace,
         kind: kind.into(),
         model: Some(prompt.model),
         chat: prompt.chat,
-        once: None,
-        shared: Vec::new(),
+        idempotency_key: None,
+        prefixes: Vec::new(),
         weight: prompt.weight,
         deadline: deadline(&request),
     };
@@ -174,16 +174,16 @@
     let once = key.map(|key| key::read(&caller.workspace, key));
     let chat = once.as_ref().map_or_else(|| caller.request.clone(), |it| it.key.clone());
     let template = template(&request, service_path(&request, &kind), body);
-    let ask = Ask {
+    let ask = Arrival {
         id: caller.id,
-        content: template.content(&caller.workspace),
+        fingerprint: template.content(&caller.workspace),
         request: caller.request,
         workspace: caller.workspace,
         kind: kind.as_str().into(),
         model: None,
         chat,
-        once,
-        shared: Vec::new(),
+        idempotency_key: once,
+        prefixes: Vec::new(),
         weight: PLAIN_WEIGHT,
         deadline: deadline(&request),
     };
@@ -198,7 +198,7 @@
     if rest.starts_with('/') { rest.to_owned() } else { format!("/{rest}") }
 }
 
-async fn relay(core: &Shared, ask: Ask, template: Template) -> HttpResponse {
+async fn relay(core: &Shared, ask: Arrival, template: Template) -> HttpResponse {
     let request = ask.request.clone();
     let mut relay = Relay::start(core.get_ref().clone(), ask, template);
     let (head, upstream) = match relay.next().await {
--- a/components/router/src/ingress.rs
+++ b/components/router/src/ingress.rs
@@ -10,7 +10,7 @@
 use ntex::io::IoRef;
 use ntex::web::types::{Payload, State};
 use ntex::web::{self, HttpRequest, HttpResponse, HttpResponseBuilder};
-use routing::Ask;
+use routing::Arrival;
 
 use crate::core::Core;
 use crate::relay::{Relay, Step};
@@ -74,17 +74,17 @@
     }
 }
 
-fn ask(number: u64, id: Arc<str>, content: u64, intake: &Intake, target: Target) -> Ask {
-    Ask {
+fn ask(number: u64, id: Arc<str>, content: u64, intake: &Intake, target: Target) -> Arrival {
+    Arrival {
         id: number,
-        content,
+        fingerprint: content,
         chat: chat(&intake.prompt).unwrap_or_else(|| id.clone()),
-        shared: shared(&intake.prompt),
+        prefixes: shared(&intake.prompt),
         request: id,
         workspace: target.workspace,
         kind: target.kind,
         model: target.model,
-        once: None,
+        idempotency_key: None,
         weight: WEIGHT,
         deadline: intake.remaining,
     }
@@ -98,12 +98,12 @@
 }
 
 /// The parts of the prompt that others may share, each with all before.
-fn shared(prompt: &[Part]) -> Vec<routing::Part> {
+fn shared(prompt: &[Part]) -> Vec<routing::Prefix> {
     let parts = prompt.split_last().map_or(prompt, |(_, shared)| shared);
-    let start = routing::Part { hash: 0, tokens: 0 };
-    let join = |before: &mut routing::Part, part: &Part| {
+    let start = routing::Prefix { hash: 0, tokens: 0 };
+    let join = |before: &mut routing::Prefix, part: &Part| {
         let hash = placement::key(&before.hash.to_string(), &part.id);
-        *before = routing::Part { hash, tokens: before.tokens.saturating_add(part.tokens) };
+        *before = routing::Prefix { hash, tokens: before.tokens.saturating_add(part.tokens) };
         Some(*before)
     };
     parts.iter().scan(start, join).collect()
@@ -137,7 +137,12 @@
     }
 }
 
-async fn relay(core: &Shared, request: &HttpRequest, ask: Ask, template: Template) -> HttpResponse {
+async fn relay(
+    core: &Shared,
+    request: &HttpRequest,
+    ask: Arrival,
+    template: Template,
+) -> HttpResponse {
     let events = template.events;
     let mut relay = Relay::start(core.get_ref().clone(), ask, template);
     let head = match relay.next().await {
--- a/components/router/src/key.rs
+++ b/components/router/src/key.rs
@@ -7,7 +7,7 @@
 
 use std::sync::Arc;
 
-use routing::{Once, Owner};
+use routing::{IdempotencyKey, Owner};
 use uuid::Uuid;
 
 /// What a key of the fleet begins with.
@@ -22,8 +22,8 @@
 }
 
 /// The key as the fleet knows it, within its workspace.
-pub(crate) fn read(workspace: &str, key: &str) -> Once {
-    Once { key: format!("{workspace}/{key}").into(), owner: owner(key) }
+pub(crate) fn read(workspace: &str, key: &str) -> IdempotencyKey {
+    IdempotencyKey { key: format!("{workspace}/{key}").into(), owner: owner(key) }
 }
 
 fn owner(key: &str) -> Option<Owner> {
--- a/components/router/src/places.rs
+++ b/components/router/src/places.rs
@@ -147,7 +147,7 @@
             self.requester(core, &short.pool, |requester| requester.receive_saturation(short));
         }
         let lasts = Millis(u64::from(short.lasts_ms)).min(LASTS);
-        core.apply(Event::Short { pool: short.pool.clone(), lasts });
+        core.apply(Event::Saturated { pool: short.pool.clone(), duration: lasts });
     }
 
     /// The pools that this router owns, at a glance.
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -9,7 +9,7 @@
 use clock::Millis;
 use errors::Answer;
 use permits::Resolution;
-use routing::{Ask, Attempt, Decision, Effect, Event, Owner};
+use routing::{Arrival, Attempt, Decision, Effect, Event, Owner};
 use telemetry::Span;
 use tokio::time::{Instant, timeout_at};
 use wire::{Claim, Frame, Head, Open};
@@ -33,11 +33,11 @@
         match self {
             Self::Link(call) => match call.next().await {
                 Ok(Some(frame)) => Event::Reply { id, attempt, reply: frame.into() },
-                Ok(None) | Err(_) => Event::Lost { id, attempt, sent: true },
+                Ok(None) | Err(_) => Event::ConnectionFailed { id, attempt, sent: true },
             },
             Self::Direct(call) => match call.next().await {
                 Ok(reply) => Event::Reply { id, attempt, reply },
-                Err(lost) => Event::Lost { id, attempt, sent: lost.sent },
+                Err(lost) => Event::ConnectionFailed { id, attempt, sent: lost.sent },
             },
         }
     }
@@ -91,7 +91,7 @@
 
 impl Relay {
     /// Takes a request to the reducer.
-    pub(crate) fn start(core: Rc<Core>, ask: Ask, template: Template) -> Self {
+    pub(crate) fn start(core: Rc<Core>, ask: Arrival, template: Template) -> Self {
         let came = template.traceparent.as_deref();
         let span = core.tracer.span("router", came, &ask.request);
         let traceparent = span.traceparent(came).map(Into::into);
@@ -99,7 +99,7 @@
             id: ask.id,
             request: ask.request.clone(),
             workspace: ask.workspace.clone(),
-            once: ask.once.as_ref().map(|it| it.key.clone()),
+            once: ask.idempotency_key.as_ref().map(|it| it.key.clone()),
             template,
             span,
             traceparent,
@@ -116,7 +116,7 @@
             over: false,
             core,
         };
-        relay.apply(Event::Ask(ask));
+        relay.apply(Event::Arrival(ask));
         relay
     }
 
@@ -164,27 +164,27 @@
             Effect::Relay(bytes) => return Some(Step::Bytes(bytes)),
             Effect::Finish => return Some(self.end(Step::Finished)),
             Effect::Fail(answer) => return Some(self.end(Step::Failed(answer))),
-            Effect::Cut(answer) => return Some(self.end(Step::Cut(answer))),
+            Effect::Abort(answer) => return Some(self.end(Step::Cut(answer))),
             Effect::Cancel => self.hang_up(),
-            Effect::Bind { key, owner } => self.bind(&key, &owner).await,
+            Effect::BindKey { key, owner } => self.bind(&key, &owner).await,
             Effect::Send(attempt) => self.send(attempt).await,
             Effect::Claim { pool, claim } => self.claim(&pool, claim).await,
-            Effect::Note { .. } => self.core.tell(effect),
-            Effect::Forget { address } => self.core.client().forget(&address),
+            Effect::UpdateDirectory { .. } => self.core.tell(effect),
+            Effect::CloseIdle { address } => self.core.client().forget(&address),
             Effect::Wait(pause) => self.pause = Some(Instant::now() + pause.duration()),
             Effect::Record(_)
             | Effect::Connect { .. }
-            | Effect::Share(_)
+            | Effect::PublishPrefixes(_)
             | Effect::Suspect { .. }
-            | Effect::Revive { .. }
-            | Effect::Leave { .. }
-            | Effect::Rest { .. }
+            | Effect::Recovered { .. }
+            | Effect::Leaving { .. }
+            | Effect::Backoff { .. }
             | Effect::Check { .. }
-            | Effect::Report(_)
-            | Effect::Clear(_)
-            | Effect::HoldBack { .. }
+            | Effect::ReportCrashes(_)
+            | Effect::ReportCleared(_)
+            | Effect::Quarantine { .. }
             | Effect::Release { .. }
-            | Effect::RunsShort { .. }
+            | Effect::ReportSaturation { .. }
             | Effect::Drained => {}
         }
         None
@@ -205,7 +205,7 @@
             }
             None => None,
         };
-        self.apply(Event::Bound { id: self.id, owner });
+        self.apply(Event::KeyBound { id: self.id, owner });
     }
 
     /// Asks the owner of a pool for a place.
@@ -259,10 +259,12 @@
             Ok(Ok((call, welcome))) => {
                 self.call = Some(Call::Link(call));
                 if let Some(welcome) = welcome {
-                    self.core.apply(Event::Met(welcome));
+                    self.core.apply(Event::Connected(welcome));
                 }
             }
-            Ok(Err(fault)) => self.apply(Event::Lost { id, attempt, sent: !fault.nothing_sent() }),
+            Ok(Err(fault)) => {
+                self.apply(Event::ConnectionFailed { id, attempt, sent: !fault.nothing_sent() })
+            }
             Err(_) => self.late(),
         }
     }
@@ -289,7 +291,7 @@
             attempt: attempt.number,
             workspace: self.workspace.clone(),
             chat: attempt.chat,
-            home: attempt.home,
+            home: attempt.is_home,
             priority: attempt.priority,
             remaining_ms: attempt.remaining.0,
             weight: attempt.weight,
@@ -310,7 +312,7 @@
         let (id, attempt) = (self.id, self.attempt);
         if let Some(pause) = self.pause.take() {
             tokio::time::sleep_until(pause).await;
-            return self.apply(Event::Waited { id });
+            return self.apply(Event::WaitElapsed { id });
         }
         let Some(call) = &mut self.call else {
             return std::future::pending().await;
@@ -331,7 +333,7 @@
 impl Drop for Relay {
     fn drop(&mut self) {
         if !self.over {
-            self.apply(Event::Quit { id: self.id });
+            self.apply(Event::Cancel { id: self.id });
         }
     }
 }
--- a/components/routing/src/admission.rs
+++ b/components/routing/src/admission.rs
@@ -4,9 +4,9 @@
 //! The load pattern: more comes than a pool serves, since callers are many or upstreams are
 //! gone. Upstreams queue what has no slot. All that waits there is late, or is worked on after
 //! its caller has gone, and goes on being late when the load is over. So the wait for an
-//! answer to begin is predicted from the answers of all routers ([`lane`]), and a request that
+//! answer to begin is predicted from the answers of all routers ([`estimator`]), and a request that
 //! would be late wherever it went is refused before it is sent, with a time to come back that
-//! is booked so that callers do not return together ([`returns`]).
+//! is booked so that callers do not return together ([`retry_after`]).
 //!
 //! What waits is counted in requests whose answers have not begun, not against slots: engines
 //! that read long prompts keep callers waiting with half of their slots free.
@@ -16,9 +16,9 @@
 //! their callers' deadlines and not 7,855, and 99 in 100 were in time again 2 s after the
 //! engines had come back, not 48.
 
+mod estimator;
 mod flow;
-mod lane;
-mod returns;
+mod retry_after;
 mod shares;
 
 use std::sync::Arc;
@@ -101,8 +101,8 @@
     /// from now; none if it may be sent.
     ///
     /// One that may have run already is not turned away: its caller could not send it again.
-    pub(crate) fn turn_away(&mut self, id: u64, best: &str, now: Millis) -> Option<u64> {
-        let request = self.requests.get(&id).filter(|it| it.uncertain().is_none())?;
+    pub(crate) fn reject_late(&mut self, id: u64, best: &str, now: Millis) -> Option<u64> {
+        let request = self.requests.get(&id).filter(|it| it.uncertain_error().is_none())?;
         let full = self.limit_ms(&request.pool, request.priority)?;
         let pool = request.pool.clone();
         let wait = self.forecast_for(id, best, now).wait_ms;
@@ -121,7 +121,7 @@
 
     /// The longest wait at which a request of `priority` is sent, in milliseconds.
     fn limit_ms(&self, pool: &str, priority: i32) -> Option<f64> {
-        let applies = self.settings.path.judges_upstreams() && self.settings.mechanisms.admission;
+        let applies = self.settings.path.monitors_upstreams() && self.settings.mechanisms.admission;
         self.flows.get(pool).filter(|_| applies)?.limit_ms(priority)
     }
 
@@ -133,36 +133,36 @@
     }
 
     /// The answer of a request begins: notes how long it took to.
-    pub(crate) fn begin_answer(&mut self, id: u64, now: Millis) {
+    pub(crate) fn record_answer_start(&mut self, id: u64, now: Millis) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let weight = request.ask.weight;
+        let weight = request.arrival.weight;
         let (pool, priority) = (request.pool.clone(), request.priority);
-        let Some(last) = request.tries.last_mut().filter(|it| it.waits) else { return };
-        last.waits = false;
+        let Some(last) = request.tries.last_mut().filter(|it| it.is_waiting) else { return };
+        last.is_waiting = false;
         if let Some(upstream) = self.upstreams.get_mut(&last.upstream) {
             upstream.begin_answer(weight);
         }
         let flow = self.flows.entry(pool).or_default();
-        flow.began(priority, last.sent.until(now), last.queued, now);
+        flow.record_start(priority, last.sent.until(now), last.queued, now);
     }
 
     /// Notes that an answered request has ended.
-    pub(crate) fn note_end(&mut self, request: &Request, now: Millis) {
-        self.flows.entry(request.pool.clone()).or_default().ended(now);
+    pub(crate) fn record_completion(&mut self, request: &Request, now: Millis) {
+        self.flows.entry(request.pool.clone()).or_default().record_completion(now);
     }
 
     /// Takes how long requests of another router waited.
-    pub(crate) fn hear_delays(&mut self, delays: &[Delay], now: Millis) -> Vec<Effect> {
+    pub(crate) fn receive_delays(&mut self, delays: &[Delay], now: Millis) -> Vec<Effect> {
         for it in delays {
             let flow = self.flows.entry(it.pool.clone()).or_default();
-            flow.hear(it.priority, it.waited_ms, it.queued, now);
+            flow.record_waits(it.priority, it.waited_ms, it.queued, now);
         }
         Vec::new()
     }
 
     /// How long requests of this router waited since it was asked last, for the others.
-    pub fn delays(&mut self) -> Vec<Delay> {
-        let told = |(pool, flow): (&Arc<str>, &mut Flow)| flow.tell(pool);
+    pub fn take_delays(&mut self) -> Vec<Delay> {
+        let told = |(pool, flow): (&Arc<str>, &mut Flow)| flow.take_delays(pool);
         self.flows.iter_mut().flat_map(told).collect()
     }
 }
--- a/components/routing/src/admission/lane.rs
+++ b/components/routing/src/admission/estimator.rs
@@ -20,7 +20,7 @@
 
 /// The waits of one priority.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Lane {
+pub(crate) struct Estimator {
     /// The shortest objective of its requests, in milliseconds.
     objective_ms: Option<u64>,
     /// How long an answer takes to begin where nothing waits, in milliseconds.
@@ -40,7 +40,7 @@
     queued: f64,
 }
 
-impl Lane {
+impl Estimator {
     /// Takes the objective of a request.
     pub(crate) fn expect(&mut self, objective_ms: u64) {
         let least = self.objective_ms.map_or(objective_ms, |it| it.min(objective_ms));
--- a/components/routing/src/admission/flow.rs
+++ b/components/routing/src/admission/flow.rs
@@ -7,8 +7,8 @@
 use wire::Delay;
 
 use super::Forecast;
-use super::lane::Lane;
-use super::returns::Returns;
+use super::estimator::Estimator;
+use super::retry_after::Bookings;
 use crate::beliefs::outlook::count;
 
 /// The share of an objective within which an answer must be expected to begin. Nine in ten
@@ -28,8 +28,8 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Flow {
     /// The waits of each priority, the most urgent first.
-    lanes: BTreeMap<i32, Lane>,
-    returns: Returns,
+    lanes: BTreeMap<i32, Estimator>,
+    returns: Bookings,
 }
 
 impl Flow {
@@ -39,23 +39,23 @@
     }
 
     /// Takes that an answer took `took` to begin with `queued` requests before it.
-    pub(crate) fn began(&mut self, priority: i32, took: Millis, queued: u64, now: Millis) {
+    pub(crate) fn record_start(&mut self, priority: i32, took: Millis, queued: u64, now: Millis) {
         self.lane(priority).began(took, queued, now);
     }
 
     /// Takes that a request has ended.
-    pub(crate) fn ended(&mut self, now: Millis) {
-        self.returns.ended(now);
+    pub(crate) fn record_completion(&mut self, now: Millis) {
+        self.returns.record_completion(now);
     }
 
     /// Takes how long requests of another router waited.
-    pub(crate) fn hear(&mut self, priority: i32, waited_ms: u32, queued: u32, now: Millis) {
+    pub(crate) fn record_waits(&mut self, priority: i32, waited_ms: u32, queued: u32, now: Millis) {
         self.lane(priority).hear(waited_ms, queued, now);
     }
 
     /// The own waits since this was asked last, of the pool named `pool`.
-    pub(crate) fn tell(&mut self, pool: &Arc<str>) -> Vec<Delay> {
-        let told = |(priority, lane): (&i32, &mut Lane)| {
+    pub(crate) fn take_delays(&mut self, pool: &Arc<str>) -> Vec<Delay> {
+        let told = |(priority, lane): (&i32, &mut Estimator)| {
             let (waited_ms, queued) = lane.tell()?;
             Some(Delay { pool: pool.clone(), priority: *priority, waited_ms, queued })
         };
@@ -71,7 +71,7 @@
     /// How long an answer to a request of `priority` takes to begin where nothing waits, in
     /// milliseconds.
     pub(crate) fn base_ms(&self, priority: i32) -> f64 {
-        self.lanes.get(&priority).map_or(0.0, Lane::base_ms)
+        self.lanes.get(&priority).map_or(0.0, Estimator::base_ms)
     }
 
     /// The longest wait at which a request of `priority` is sent, in milliseconds: by the
@@ -101,7 +101,7 @@
         self.returns.book(soonest, times, now).0
     }
 
-    fn lane(&mut self, priority: i32) -> &mut Lane {
+    fn lane(&mut self, priority: i32) -> &mut Estimator {
         self.lanes.entry(priority).or_default()
     }
 }
--- a/components/routing/src/admission/returns.rs
+++ b/components/routing/src/admission/retry_after.rs
@@ -20,7 +20,7 @@
 
 /// The bookings of a router in one pool.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Returns {
+pub(crate) struct Bookings {
     /// Completions, fading, as of `at`.
     completed: f64,
     at: Millis,
@@ -32,9 +32,9 @@
     booked_over: Millis,
 }
 
-impl Returns {
+impl Bookings {
     /// Takes that a request has ended.
-    pub(crate) fn ended(&mut self, now: Millis) {
+    pub(crate) fn record_completion(&mut self, now: Millis) {
         self.completed = self.completed(now) + 1.0;
         self.at = now;
         self.since.get_or_insert(now);
--- a/components/routing/src/admission/shares.rs
+++ b/components/routing/src/admission/shares.rs
@@ -31,12 +31,12 @@
 impl Shares {
     pub(crate) fn new(weights: &BTreeMap<Arc<str>, f64>) -> Self {
         let mut shares = Self::default();
-        shares.weigh(weights);
+        shares.set_weights(weights);
         shares
     }
 
     /// Takes what workspaces count, by name.
-    pub(crate) fn weigh(&mut self, weights: &BTreeMap<Arc<str>, f64>) {
+    pub(crate) fn set_weights(&mut self, weights: &BTreeMap<Arc<str>, f64>) {
         self.weights = weights.iter().map(|(name, weight)| (hash(name), *weight)).collect();
     }
 
@@ -80,9 +80,9 @@
         let Some(request) = self.requests.get(&id) else { return };
         let pool = self.shares.pool(&request.pool);
         pool.record_request(
-            hash(&request.ask.workspace),
+            hash(&request.arrival.workspace),
             request.priority,
-            request.ask.content,
+            request.arrival.fingerprint,
             now,
         );
     }
@@ -94,7 +94,7 @@
         }
         let Some(request) = self.requests.get(&id) else { return };
         let pool = self.shares.pool(&request.pool);
-        pool.record_sent(hash(&request.ask.workspace), request.priority, now);
+        pool.record_sent(hash(&request.arrival.workspace), request.priority, now);
     }
 
     /// Notes that a request is turned away, how its workspace stands, and whether it would be
@@ -116,9 +116,9 @@
             pool.mark_starving(now);
         }
         if late {
-            pool.record_refusal(request.ask.content, now);
+            pool.record_refusal(request.arrival.fingerprint, now);
         } else {
-            pool.record_deferral(request.ask.content, now);
+            pool.record_deferral(request.arrival.fingerprint, now);
         }
     }
 
@@ -135,7 +135,7 @@
             return None;
         }
         let request = self.requests.get(&id)?;
-        let workspace = &request.ask.workspace;
+        let workspace = &request.arrival.workspace;
         self.shares.standing(&request.pool, workspace, request.priority, now)
     }
 
@@ -148,7 +148,7 @@
         let lacking = self.shares.pools.get(&request.pool).is_some_and(|it| it.is_starving(now));
         let times = self.settings.gives_back;
         let part = standing.filter(|_| lacking).map_or(1.0, |it| it.admitted_ratio(times));
-        part < 1.0 && !self.random.random_bool(part)
+        part < 1.0 && !self.rng.random_bool(part)
     }
 
     /// The part of the limit on waits that a workspace has.
@@ -167,7 +167,7 @@
     }
 
     /// Takes what another router tells of a pool that is short.
-    pub(crate) fn hear_demands(&mut self, demands: Demands, now: Millis) -> Vec<Effect> {
+    pub(crate) fn receive_demands(&mut self, demands: Demands, now: Millis) -> Vec<Effect> {
         if self.shares_out() {
             self.shares.pool(&demands.pool).receive(&demands.router, demands.word, now);
         }
@@ -204,7 +204,7 @@
 
     fn shares_out(&self) -> bool {
         let mechanisms = self.settings.mechanisms;
-        self.settings.path.judges_upstreams() && mechanisms.admission && mechanisms.shares
+        self.settings.path.monitors_upstreams() && mechanisms.admission && mechanisms.shares
     }
 }
 
--- a/components/routing/src/beliefs/cold.rs
+++ b/components/routing/src/beliefs/cold.rs
@@ -179,7 +179,7 @@
 
     /// Whether this router's part of what cold upstreams bear counts now.
     pub(crate) fn takes_part(&self, now: Millis) -> bool {
-        let proved = self.current.is_some_and(|at| at.until(now) <= PROOF);
+        let proved = self.confirmed_at.is_some_and(|at| at.until(now) <= PROOF);
         proved && self.members.are_settled(now)
     }
 
--- a/components/routing/src/beliefs/fleet.rs
+++ b/components/routing/src/beliefs/fleet.rs
@@ -39,7 +39,7 @@
                 .swap_remove(&host.name)
                 .unwrap_or_else(|| Upstream::new(host.clone(), labels.clone()));
             upstream.list(host, labels);
-            if self.settings.path.trusts_the_list() {
+            if self.settings.path.trusts_listing() {
                 upstream.connected = true;
                 upstream.incarnation = DIRECT_LIFE;
             }
@@ -90,7 +90,7 @@
         };
         upstream.tell(requests, waiting, now);
         upstream.heard_load = Some((requests, waiting, now));
-        let mean = self.means.entry(upstream.pool()).or_default();
+        let mean = self.mean_loads.entry(upstream.pool()).or_default();
         *mean = outlook::average(*mean, requests);
         Vec::new()
     }
@@ -108,7 +108,7 @@
     pub(crate) fn alive(&mut self, upstream: &str) -> Vec<Effect> {
         if let Some(it) = self.upstreams.get_mut(upstream) {
             if it.suspect_until > Millis::ZERO {
-                self.notices.push(Effect::Revive { upstream: it.host.name.clone() });
+                self.pending_effects.push(Effect::Recovered { upstream: it.host.name.clone() });
             }
             it.revive();
         }
@@ -132,7 +132,9 @@
             it.reachable = false;
         }
         let first = match self.upstreams.get_mut(upstream) {
-            Some(it) if it.failures == 0 && sent && self.settings.path.forgives_once() => it,
+            Some(it) if it.failures == 0 && sent && self.settings.path.tolerates_one_failure() => {
+                it
+            }
             _ => return self.suspect(upstream, now),
         };
         first.failures = 1;
@@ -145,7 +147,7 @@
         let name = self.requests.get(&id).and_then(|it| it.upstream());
         if let Some(upstream) = name.and_then(|it| self.upstreams.get_mut(it)) {
             upstream.suspect_until = until;
-            self.notices.push(upstream.suspicion());
+            self.pending_effects.push(upstream.suspicion());
         }
     }
 
@@ -162,10 +164,10 @@
 
     /// Leaves an upstream alone for a while that failed.
     pub(crate) fn suspect(&mut self, upstream: &str, now: Millis) {
-        let jitter = self.random.random::<f64>();
+        let jitter = self.rng.random::<f64>();
         if let Some(upstream) = self.upstreams.get_mut(upstream) {
             upstream.miss(&self.settings, jitter, now);
-            self.notices.push(upstream.suspicion());
+            self.pending_effects.push(upstream.suspicion());
         }
     }
 }
--- a/components/routing/src/beliefs/loads.rs
+++ b/components/routing/src/beliefs/loads.rs
@@ -9,7 +9,7 @@
 use crate::Effect;
 use crate::beliefs::outlook;
 use crate::beliefs::upstream::Upstream;
-use crate::choosing::choice::Upstreams;
+use crate::selection::candidates::Upstreams;
 use crate::state::State;
 
 /// How long a router's word counts that is not heard from any more. What it had
@@ -87,7 +87,7 @@
 
     /// Whether this router is ready as far as its configuration goes.
     fn knows_newest(&self, now: Millis) -> bool {
-        self.plan.is_some() && self.is_proved(self.settings.ready_ms, now)
+        self.plan.is_some() && self.is_confirmed_within(self.settings.ready_ms, now)
     }
 
     /// Takes what answers told another router.
@@ -97,7 +97,7 @@
         for told in &heard.upstreams {
             let Some(upstream) = self.upstreams.get_mut(&told.upstream) else { continue };
             if upstream.tell(told.requests, told.waiting, now - Millis(told.age_ms)) {
-                let mean = self.means.entry(upstream.pool()).or_default();
+                let mean = self.mean_loads.entry(upstream.pool()).or_default();
                 *mean = outlook::average(*mean, told.requests);
             }
         }
--- a/components/routing/src/beliefs/upstream.rs
+++ b/components/routing/src/beliefs/upstream.rs
@@ -12,7 +12,7 @@
 use crate::beliefs::health::{Health, Outcomes};
 use crate::beliefs::outlook::{Outlook, count};
 use crate::beliefs::word::Word;
-use crate::choosing::ranking::POOL;
+use crate::selection::ranking::POOL_LABEL;
 use crate::{Effect, Host, Settings};
 
 /// The most doublings of the time that a failing upstream is left alone.
@@ -131,7 +131,7 @@
 
     /// The pool that it belongs to.
     pub(crate) fn pool(&self) -> Arc<str> {
-        self.labels.get(POOL).cloned().unwrap_or_default()
+        self.labels.get(POOL_LABEL).cloned().unwrap_or_default()
     }
 
     /// The load it last told of, in tokens.
--- a/components/routing/src/beliefs/word.rs
+++ b/components/routing/src/beliefs/word.rs
@@ -79,7 +79,7 @@
     pub(crate) fn take_leave(&mut self, upstream: &Arc<str>, now: Millis) {
         let word = self.words.of(upstream);
         if !word.leaves {
-            self.notices.push(Effect::Leave { upstream: upstream.clone() });
+            self.pending_effects.push(Effect::Leaving { upstream: upstream.clone() });
             self.take_word(upstream, Word { leaves: true, ..word }, now);
         }
     }
@@ -90,7 +90,8 @@
         let word = self.words.of(upstream);
         let rests_until = now + lasts;
         if rests_until > word.rests_until {
-            self.notices.push(Effect::Rest { upstream: upstream.clone(), lasts });
+            self.pending_effects
+                .push(Effect::Backoff { upstream: upstream.clone(), duration: lasts });
             self.take_word(upstream, Word { rests_until, ..word }, now);
         }
     }
--- a/components/routing/src/effect.rs
+++ b/components/routing/src/effect.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Find the owner of a key in the platform's service, or make `owner` it.
-    Bind {
+    BindKey {
         /// The key, within the workspace.
         key: Arc<str>,
         /// The owner if the key has none yet.
@@ -29,13 +29,13 @@
     /// Give the final answer.
     Fail(Answer),
     /// Cut off an answer that has begun.
-    Cut(Answer),
+    Abort(Answer),
     /// Tell the sidecar that the answer is no longer wanted.
     Cancel,
     /// Keep a decision for explaining.
     Record(Arc<Decision>),
     /// Tell a chat's first upstream in rank where its context is now.
-    Note {
+    UpdateDirectory {
         /// The first upstream in rank.
         upstream: Arc<str>,
         /// The address of its sidecar.
@@ -44,9 +44,9 @@
         note: Note,
     },
     /// Tell the other routers where parts of prompts are warm.
-    Share(Warm),
+    PublishPrefixes(Warm),
     /// Close the connections to an upstream that wait for a request.
-    Forget {
+    CloseIdle {
         /// Its address.
         address: Arc<str>,
     },
@@ -64,21 +64,21 @@
         until: Millis,
     },
     /// An upstream that was left alone answers again; a line for the log.
-    Revive {
+    Recovered {
         /// The upstream.
         upstream: Arc<str>,
     },
     /// An upstream said that it leaves; a line for the log.
-    Leave {
+    Leaving {
         /// The upstream.
         upstream: Arc<str>,
     },
     /// An upstream asked for rest; a line for the log.
-    Rest {
+    Backoff {
         /// The upstream.
         upstream: Arc<str>,
         /// For how long.
-        lasts: Millis,
+        duration: Millis,
     },
     /// Find out whether an upstream still takes connections, at which a request broke off.
     Check {
@@ -88,16 +88,16 @@
         address: Arc<str>,
     },
     /// Tell the other routers, also those that start later, under what work upstreams ended.
-    Report(Vec<Crash>),
+    ReportCrashes(Vec<Crash>),
     /// Tell the other routers, also those that start later, that work was answered in full and is
     /// not held back.
-    Clear(Crash),
+    ReportCleared(Crash),
     /// Work is held back from now on; a line for the log.
-    HoldBack {
+    Quarantine {
         /// The hash of the work.
-        content: u64,
+        fingerprint: u64,
         /// For how long.
-        lasts: Millis,
+        duration: Millis,
     },
     /// Connect to an upstream's sidecar.
     Connect {
@@ -123,10 +123,10 @@
         /// What became of it.
         end: Finish,
         /// How long the upstream had it.
-        took: Millis,
+        elapsed: Millis,
     },
     /// A pool runs short: tell its owner.
-    RunsShort {
+    ReportSaturation {
         /// The pool.
         pool: Arc<str>,
     },
@@ -159,15 +159,15 @@
     /// The hash of workspace and chat.
     pub chat: u64,
     /// Whether the sidecar is asked for where the chat is.
-    pub home: bool,
+    pub is_home: bool,
     /// Where the chat's context is known to be warm, if that is another
     /// upstream: its address.
-    pub warm: Option<Arc<str>>,
+    pub copy_from: Option<Arc<str>>,
     /// Whether the upstream is to go on with an answer that another one began.
     pub resume: bool,
     /// Whether it goes on a new connection: an earlier one fell silent, and others that
     /// are kept may have too.
-    pub fresh: bool,
+    pub new_connection: bool,
 }
 
 impl Effect {
--- a/components/routing/src/event.rs
+++ b/components/routing/src/event.rs
@@ -17,9 +17,9 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A caller sent a whole request.
-    Ask(Ask),
+    Arrival(Arrival),
     /// The owner of an idempotency key was looked up.
-    Bound {
+    KeyBound {
         /// The request.
         id: u64,
         /// The owner; `None` if it could not be looked up.
@@ -35,7 +35,7 @@
         reply: Reply,
     },
     /// The stream of an attempt ended before its last frame.
-    Lost {
+    ConnectionFailed {
         /// The request.
         id: u64,
         /// The attempt that was sent.
@@ -51,7 +51,7 @@
         attempt: u32,
     },
     /// The caller went away.
-    Quit {
+    Cancel {
         /// The request.
         id: u64,
     },
@@ -65,14 +65,14 @@
     /// Time passed: missing connections are opened.
     Tick,
     /// A connection to an upstream's sidecar stands.
-    Met(Welcome),
+    Connected(Welcome),
     /// The connection to an upstream's sidecar still stands.
     Alive {
         /// The upstream.
         upstream: Arc<str>,
     },
     /// An upstream's sidecar can't be reached.
-    Missed {
+    Unreachable {
         /// The upstream.
         upstream: Arc<str>,
     },
@@ -81,12 +81,12 @@
     /// A configuration came.
     Configure(Arc<Plan>),
     /// The configuration in force was the newest at `at`.
-    Current {
+    ConfigurationConfirmed {
         /// When it was known to be.
         at: Millis,
     },
     /// So many routers were counted, this one included.
-    Routers(usize),
+    RouterCount(usize),
     /// These routers have announced themselves.
     Members {
         /// This router.
@@ -101,7 +101,7 @@
         /// The upstream.
         upstream: Arc<str>,
         /// For how much longer.
-        left: Millis,
+        remaining: Millis,
     },
     /// The owner of a pool that is short has granted a request a place.
     Granted {
@@ -129,23 +129,23 @@
         number: u64,
     },
     /// A pool is short of places.
-    Short {
+    Saturated {
         /// The pool.
         pool: Arc<str>,
         /// For how long, unless it is told again; zero once it is short no more.
-        lasts: Millis,
+        duration: Millis,
     },
     /// An upstream said with an answer that it leaves.
-    Leaves {
+    Leaving {
         /// The upstream.
         upstream: Arc<str>,
     },
     /// An upstream asked with an answer to be sent nothing for a while.
-    Rests {
+    Backoff {
         /// The upstream.
         upstream: Arc<str>,
         /// For how long.
-        lasts: Millis,
+        duration: Millis,
     },
     /// An upstream told its load with an answer.
     Load {
@@ -166,11 +166,11 @@
     /// Another router told how fast upstreams said that they were.
     Paces(Vec<wire::Pace>),
     /// Another router told where parts of prompts are warm.
-    Warm(Warm),
+    WarmPrefixes(Warm),
     /// Another router told its own load.
     Loads(Loads),
     /// Another router told what answers told it of loads.
-    Heard(Heard),
+    Observations(Heard),
     /// Another router told how its requests ended.
     Outcomes(Vec<Outcome>),
     /// Another router told how long its requests waited.
@@ -187,7 +187,7 @@
         check: Check,
     },
     /// The pause of a request that waits is over.
-    Waited {
+    WaitElapsed {
         /// The request.
         id: u64,
     },
@@ -200,7 +200,7 @@
 
 /// A whole request.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct Arrival {
     /// The router's own number for the request.
     pub id: u64,
     /// The id that callers and operators see.
@@ -213,13 +213,13 @@
     pub model: Option<Arc<str>>,
     /// The hash of the work that is asked for: the same for whoever of the workspace asks
     /// for it again, under whatever id and at whatever router.
-    pub content: u64,
+    pub fingerprint: u64,
     /// What keeps a chat together.
     pub chat: Arc<str>,
     /// The parts of the prompt that other requests may share, the shortest first.
-    pub shared: Vec<Part>,
+    pub prefixes: Vec<Prefix>,
     /// The idempotency key, if there is one.
-    pub once: Option<Once>,
+    pub idempotency_key: Option<IdempotencyKey>,
     /// The load that the request brings, in tokens.
     pub weight: u64,
     /// The time the caller gives it, if less than the intent's.
@@ -228,33 +228,33 @@
 
 /// The start of a prompt that other requests may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Part {
+pub struct Prefix {
     /// The hash of the part and all parts before it.
     pub hash: u64,
     /// The length of the part and all parts before it, in tokens.
     pub tokens: u64,
 }
 
-impl Ask {
+impl Arrival {
     /// The length of what other requests may share, in tokens.
-    pub fn shared_tokens(&self) -> u64 {
-        self.shared.last().map_or(0, |it| it.tokens)
+    pub fn prefix_tokens(&self) -> u64 {
+        self.prefixes.last().map_or(0, |it| it.tokens)
     }
 
     /// The hashes of the parts that other requests may share.
-    pub(crate) fn hashes(&self) -> Vec<u64> {
-        self.shared.iter().map(|it| it.hash).collect()
+    pub(crate) fn prefix_hashes(&self) -> Vec<u64> {
+        self.prefixes.iter().map(|it| it.hash).collect()
     }
 
     /// Whether it is a turn of a chat, which has a context to come back to.
     pub fn is_chat(&self) -> bool {
-        self.model.is_some() && self.once.is_none()
+        self.model.is_some() && self.idempotency_key.is_none()
     }
 }
 
 /// An idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Once {
+pub struct IdempotencyKey {
     /// The key, within the workspace.
     pub key: Arc<str>,
     /// The owner that the key itself names, if it does.
@@ -286,7 +286,7 @@
     /// The answer will not be whole.
     Broken(Broken),
     /// A frame that may not come here.
-    Strange,
+    Unexpected,
 }
 
 impl From<Frame> for Reply {
@@ -319,7 +319,7 @@
             | Frame::Cleared(_)
             | Frame::Claims(_)
             | Frame::Verdicts(_)
-            | Frame::Short(_) => Self::Strange,
+            | Frame::Short(_) => Self::Unexpected,
         }
     }
 }
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -6,26 +6,26 @@
 
 mod admission;
 mod beliefs;
-mod choosing;
 mod effect;
 mod event;
 mod mechanisms;
 mod path;
 mod recovery;
 mod requests;
+mod selection;
 mod settings;
 mod state;
 
 pub use beliefs::listing::{Listing, RETURN};
 pub use beliefs::upstream::Upstream;
 pub use effect::{Attempt, Effect};
-pub use event::{Ask, Event, Host, Once, Owner, Part, Reply};
+pub use event::{Arrival, Event, Host, IdempotencyKey, Owner, Prefix, Reply};
 pub use mechanisms::Mechanisms;
 pub use path::Path;
 pub use placement::Bound;
 pub use recovery::budget::Budget;
 pub use recovery::quarantine::{Check, Crash};
-pub use requests::decision::{Decision, Passed, Try};
+pub use requests::decision::{Decision, Exclusion, Try};
 pub use settings::{Policy, Settings};
 pub use shares::{Rank, Standing};
 pub use state::State;
--- a/components/routing/src/path.rs
+++ b/components/routing/src/path.rs
@@ -26,42 +26,42 @@
 
     /// Whether an upstream that is listed counts as connected: no connection to a sidecar has
     /// to stand first.
-    pub(crate) fn trusts_the_list(self) -> bool {
+    pub(crate) fn trusts_listing(self) -> bool {
         !self.has_sidecars()
     }
 
     /// Whether one broken connection is forgiven: it says little of an upstream, and much of
     /// a sidecar, whose connection is kept.
-    pub(crate) fn forgives_once(self) -> bool {
+    pub(crate) fn tolerates_one_failure(self) -> bool {
         !self.has_sidecars()
     }
 
     /// Whether routers follow where parts of prompts are warm; sidecars follow whole chats.
-    pub(crate) fn follows_parts(self) -> bool {
+    pub(crate) fn tracks_prefixes(self) -> bool {
         !self.has_sidecars()
     }
 
     /// Whether a request is ranked anew after a failed attempt. Sidecars say themselves who
     /// leaves, and send a chat back to where it has been.
-    pub(crate) fn ranks_again(self) -> bool {
+    pub(crate) fn reranks_on_retry(self) -> bool {
         !self.has_sidecars()
     }
 
     /// Whether a router looks for upstreams that fail in part, say nothing or have been
     /// replaced, and turns away what would be late; sidecars do so for themselves.
-    pub(crate) fn judges_upstreams(self) -> bool {
+    pub(crate) fn monitors_upstreams(self) -> bool {
         !self.has_sidecars()
     }
 
     /// Whether calls that are no chats go to the upstream with the least load; with sidecars
     /// they are ranked, so that a key stays with its owner.
-    pub(crate) fn spreads_calls(self) -> bool {
+    pub(crate) fn balances_calls(self) -> bool {
         !self.has_sidecars()
     }
 
     /// Whether hops after refusals have a budget of their own; else all that is sent again
     /// counts as a retry, as the platform counts it.
-    pub(crate) fn counts_hops_apart(self) -> bool {
+    pub(crate) fn has_hop_budget(self) -> bool {
         self.has_sidecars()
     }
 }
--- a/components/routing/src/recovery/quarantine.rs
+++ b/components/routing/src/recovery/quarantine.rs
@@ -178,11 +178,11 @@
     /// Nothing comes of an attempt any more: its upstream may have ended without a word, which
     /// the platform's list will tell.
     pub(crate) fn doubt_upstream(&mut self, id: u64, now: Millis) -> Option<Arc<str>> {
-        if !self.settings.path.judges_upstreams() {
+        if !self.settings.path.monitors_upstreams() {
             return None;
         }
         let request = self.requests.get(&id)?;
-        let (content, upstream) = (request.ask.content, request.upstream()?.clone());
+        let (content, upstream) = (request.arrival.fingerprint, request.upstream()?.clone());
         self.quarantine.doubt(content, &upstream, now);
         Some(upstream)
     }
@@ -215,7 +215,7 @@
         if crashes.is_empty() {
             return;
         }
-        self.notices.push(Effect::Report(crashes.clone()));
+        self.pending_effects.push(Effect::ReportCrashes(crashes.clone()));
         self.learn_crashes(crashes, now);
     }
 
@@ -236,7 +236,8 @@
             let old = crash.at.until(now) >= lasts;
             let ends = if old { None } else { self.quarantine.learn(crash) };
             if ends == Some(self.settings.quarantine_ends) {
-                self.notices.push(Effect::HoldBack { content, lasts });
+                self.pending_effects
+                    .push(Effect::Quarantine { fingerprint: content, duration: lasts });
             }
         }
     }
@@ -251,7 +252,7 @@
 
     /// A whole answer to `content` was passed on: it is not why upstreams end.
     pub(crate) fn note_whole(&mut self, content: u64, now: Millis) {
-        if !self.settings.path.judges_upstreams() {
+        if !self.settings.path.monitors_upstreams() {
             return;
         }
         self.quarantine.answered.put(content, MOST_ANSWERED);
@@ -265,7 +266,7 @@
 
     fn tell_cleared(&mut self, content: u64, now: Millis) {
         self.quarantine.clear(content);
-        self.notices.push(Effect::Clear(Crash::clearing(content, now)));
+        self.pending_effects.push(Effect::ReportCleared(Crash::clearing(content, now)));
     }
 
     /// For how much longer work is held back; `None` if it is not.
--- a/components/routing/src/recovery/retry.rs
+++ b/components/routing/src/recovery/retry.rs
@@ -18,7 +18,7 @@
     ) -> Vec<Effect> {
         self.mark(id, kind);
         if self.may_try_elsewhere(id, kind, now) {
-            return self.attempt(id, now);
+            return self.send_next(id, now);
         }
         self.fail(id, kind, after, "", now)
     }
@@ -26,7 +26,7 @@
     /// Whether the request may be sent to another upstream after `kind`; if so,
     /// a retry is taken from the budget.
     pub(crate) fn may_try_elsewhere(&mut self, id: u64, kind: Kind, now: Millis) -> bool {
-        self.rank_again(id, now);
+        self.rerank(id, now);
         let Some(request) = self.requests.get(&id) else {
             return false;
         };
@@ -34,11 +34,11 @@
         let safe = match row.outcome {
             _ if request.is_answering() => request.resumable,
             Outcome::NotRun => row.elsewhere,
-            Outcome::Unknown => request.repeatable && request.once().is_none(),
+            Outcome::Unknown => request.repeatable && request.idempotency_key().is_none(),
             Outcome::Ran => request.repeatable && kind == Kind::UpstreamFailed,
         };
-        let left = request.attempt() < self.settings.max_attempts
-            && request.reached() < request.attempts
+        let left = request.attempt_number() < self.settings.max_attempts
+            && request.reached_count() < request.max_attempts
             && request.deadline > now
             && !request.candidates.is_empty();
         safe && left && self.settings.mechanisms.retries && self.may_go_on(id, kind)
@@ -48,12 +48,12 @@
     fn may_go_on(&mut self, id: u64, kind: Kind) -> bool {
         match kind {
             // Nothing has come to the upstreams yet.
-            Kind::Unreachable if !self.settings.path.counts_hops_apart() => true,
-            _ if !self.settings.path.counts_hops_apart() => self.budget(id).spend(),
+            Kind::Unreachable if !self.settings.path.has_hop_budget() => true,
+            _ if !self.settings.path.has_hop_budget() => self.budget(id).spend(),
             // Following a chat to its context is not a retry.
             Kind::Moved => true,
             Kind::OverBound | Kind::QueueFull | Kind::WouldMiss | Kind::Leaving => {
-                self.hops.spend()
+                self.hop_budget.spend()
             }
             _ => self.budget(id).spend(),
         }
@@ -61,8 +61,8 @@
 
     /// Notes why the current attempt failed.
     pub(crate) fn mark(&mut self, id: u64, kind: Kind) {
-        self.release(id);
-        self.give_back(id, Some(kind));
+        self.release_load(id);
+        self.release_permit(id, Some(kind));
         let last = self.requests.get_mut(&id).and_then(|it| it.tries.last_mut());
         if let Some(last) = last {
             last.error = Some(kind);
@@ -73,12 +73,12 @@
     pub(crate) fn budget(&mut self, id: u64) -> &mut Budget {
         let pool = self.requests.get(&id).map(|it| it.pool.clone()).unwrap_or_default();
         let (share, burst) = (self.settings.retry_share, self.burst());
-        self.budgets.entry(pool).or_insert_with(|| Budget::new(share, burst))
+        self.retry_budgets.entry(pool).or_insert_with(|| Budget::new(share, burst))
     }
 
     /// The fixed part of the retry budget is divided among the routers.
     pub(crate) fn divide(&mut self, routers: usize) -> Vec<Effect> {
-        self.routers = routers.max(1);
+        self.router_count = routers.max(1);
         self.change_budgets();
         Vec::new()
     }
@@ -87,7 +87,7 @@
     /// given back that was spent.
     pub(crate) fn change_budgets(&mut self) {
         let (share, burst) = (self.settings.retry_share, self.burst());
-        for budget in self.budgets.values_mut() {
+        for budget in self.retry_budgets.values_mut() {
             budget.change(share, burst);
         }
     }
@@ -95,6 +95,6 @@
     /// This router's part of the fixed retry budget.
     #[expect(clippy::cast_precision_loss, reason = "fleets are small beside 2^53")]
     pub(crate) fn burst(&self) -> f64 {
-        self.settings.retry_burst / self.routers as f64
+        self.settings.retry_burst / self.router_count as f64
     }
 }
--- a/components/routing/src/recovery/silence.rs
+++ b/components/routing/src/recovery/silence.rs
@@ -35,7 +35,7 @@
 
     /// How long nothing has come for the current attempt.
     fn quiet(&self, now: Millis) -> Millis {
-        self.tries.last().map_or(Millis::ZERO, |it| it.heard.until(now))
+        self.tries.last().map_or(Millis::ZERO, |it| it.last_received.until(now))
     }
 }
 
@@ -45,7 +45,7 @@
         let Some(last) = self.requests.get_mut(&id).and_then(|it| it.tries.last_mut()) else {
             return;
         };
-        last.heard = now;
+        last.last_received = now;
         if let Some(upstream) = self.upstreams.get_mut(&last.upstream) {
             upstream.heard = Some(now);
         }
@@ -66,7 +66,7 @@
             return Vec::new();
         };
         let upstream = last.upstream.clone();
-        let first = !std::mem::replace(&mut last.silent, true);
+        let first = !std::mem::replace(&mut last.is_silent, true);
         let forget = self.forget(&upstream).filter(|_| first);
         if first {
             self.doubt_upstream(id, now);
@@ -82,7 +82,7 @@
         self.mark(id, kind);
         let mut effects = vec![Effect::Cancel];
         effects.extend(forget);
-        effects.extend(self.attempt(id, now));
+        effects.extend(self.send_next(id, now));
         effects
     }
 
@@ -91,7 +91,7 @@
     /// after the other.
     fn forget(&self, upstream: &Arc<str>) -> Option<Effect> {
         let address = self.upstreams.get(upstream)?.host.address.clone();
-        Some(Effect::Forget { address })
+        Some(Effect::CloseIdle { address })
     }
 
     /// Takes how the current attempt of a request goes, once for each attempt, and once more
@@ -100,9 +100,9 @@
         let Some(last) = self.requests.get_mut(&id).and_then(|it| it.tries.last_mut()) else {
             return;
         };
-        let before = last.judged.replace(good);
+        let before = last.recorded_outcome.replace(good);
         if before.is_some_and(|it| !it || good) {
-            last.judged = before;
+            last.recorded_outcome = before;
             return;
         }
         if let Some(upstream) = self.upstreams.get_mut(&last.upstream) {
--- a/components/routing/src/requests/ask.rs
+++ b/components/routing/src/requests/arrival.rs
@@ -6,16 +6,16 @@
 use errors::Kind;
 use intents::{Miss, Plan, Target};
 
-use crate::choosing::share::patience;
-use crate::requests::request::{Phase, Place, Request};
+use crate::requests::request::{Permit, Phase, Request};
+use crate::selection::prefixes::patience;
 use crate::state::State;
-use crate::{Ask, Effect, Owner};
+use crate::{Arrival, Effect, Owner};
 
 /// Why a request is refused before anything is decided on it: the error, and what
 /// is said of it beyond its name.
-type Refusal = (Kind, String);
+type Rejection = (Kind, String);
 
-impl Ask {
+impl Arrival {
     /// What `plan` decides for the request.
     pub(crate) fn target<'a>(&self, plan: &'a Plan) -> Result<Target<'a>, Miss> {
         plan.find(&self.workspace, &self.kind, self.model.as_deref())
@@ -24,11 +24,11 @@
 
 impl State {
     /// Takes a request: it is refused at once, or sent to the best upstream.
-    pub(crate) fn ask(&mut self, ask: Ask, now: Millis) -> Vec<Effect> {
+    pub(crate) fn handle_arrival(&mut self, ask: Arrival, now: Millis) -> Vec<Effect> {
         let plan = self.plan.clone();
         let target = match self.admit(plan.as_deref(), &ask, now) {
             Ok(target) => target,
-            Err((kind, detail)) => return self.refuse(&ask, kind, &detail, now),
+            Err((kind, detail)) => return self.reject(&ask, kind, &detail, now),
         };
         let id = ask.id;
         let request = self.request(ask, &target, now);
@@ -36,7 +36,7 @@
         self.rank(id, now);
         self.note_asked(id, now);
         self.budget(id).earn();
-        self.hops.earn();
+        self.hop_budget.earn();
         self.start(id, now)
     }
 
@@ -44,63 +44,63 @@
     fn admit<'a>(
         &self,
         plan: Option<&'a Plan>,
-        ask: &Ask,
+        ask: &Arrival,
         now: Millis,
-    ) -> Result<Target<'a>, Refusal> {
+    ) -> Result<Target<'a>, Rejection> {
         let Some(plan) = plan else {
             return Err((Kind::NoConfiguration, String::new()));
         };
-        let target = ask.target(plan).map_err(refusal)?;
-        if !target.repeatable && !target.kind.keyless && ask.once.is_none() {
+        let target = ask.target(plan).map_err(rejection)?;
+        if !target.repeatable && !target.kind.keyless && ask.idempotency_key.is_none() {
             return Err((Kind::KeyMissing, String::new()));
         }
         let allowed = Millis(target.intent.deadline_ms);
         if !self.has_time_for(&ask.kind, ask.deadline.map_or(allowed, |it| it.min(allowed)), now) {
             return Err((Kind::Draining, String::new()));
         }
-        if !target.kind.anonymous && !self.is_proved(self.settings.current_ms, now) {
+        if !target.kind.anonymous && !self.is_confirmed_within(self.settings.current_ms, now) {
             return Err((Kind::StaleConfiguration, String::new()));
         }
         // Its caller comes again under a new id, at any router: where each decided on it as if it
         // had never come, one work ended 15 engines in 17 s.
-        if self.held_back(ask.content, now).is_some() {
+        if self.held_back(ask.fingerprint, now).is_some() {
             return Err((Kind::HeldBack, String::new()));
         }
         Ok(target)
     }
 
     /// The state of a request that has come and is not ranked yet.
-    fn request(&self, ask: Ask, target: &Target<'_>, now: Millis) -> Request {
+    fn request(&self, ask: Arrival, target: &Target<'_>, now: Millis) -> Request {
         let intent = target.intent;
         let allowed = Millis(intent.deadline_ms);
         Request {
             deadline: now + ask.deadline.map_or(allowed, |it| it.min(allowed)),
-            ask,
-            came: now,
-            proof_ms: self.proof_ms(now),
+            arrival: ask,
+            arrived: now,
+            proof_ms: self.confirmation_age_ms(now),
             status: None,
-            answered: None,
-            relayed: None,
-            pause: Millis::ZERO,
+            answered_at: None,
+            relayed_at: None,
+            longest_gap: Millis::ZERO,
             outlook: self.outlook(intent, now),
             objective_ms: intent.objective_ms,
-            patience: patience(intent.objective_ms, now),
+            wait_until: patience(intent.objective_ms, now),
             phase: Phase::Sent,
             repeatable: target.repeatable,
             resumable: target.kind.resumable,
-            attempts: intent.attempts.unwrap_or(self.settings.max_attempts),
+            max_attempts: intent.attempts.unwrap_or(self.settings.max_attempts),
             pool: "".into(),
             priority: target.priority,
             intent: intent.name.clone(),
             generation: self.generation(),
             candidates: Vec::new(),
-            passed: Vec::new(),
+            exclusions: Vec::new(),
             home: None,
-            first: None,
+            first_ranked: None,
             hints: Vec::new(),
             tries: Vec::new(),
             standing: None,
-            place: Place::None,
+            permit: Permit::None,
             unusable: Vec::new(),
         }
     }
@@ -111,8 +111,8 @@
         let Some(request) = self.requests.get(&id) else {
             return Vec::new();
         };
-        let Some(once) = request.ask.once.clone() else {
-            return self.attempt(id, now);
+        let Some(once) = request.arrival.idempotency_key.clone() else {
+            return self.send_next(id, now);
         };
         if let Some(owner) = once.owner {
             return self.send_to_owner(id, &owner, now);
@@ -131,12 +131,12 @@
         };
         request.phase = Phase::Binding;
         let incarnation = self.upstreams[&upstream].incarnation;
-        vec![Effect::Bind { key, owner: Owner { upstream, incarnation } }]
+        vec![Effect::BindKey { key, owner: Owner { upstream, incarnation } }]
     }
 }
 
 /// Why a request is refused that no intent decides.
-fn refusal(miss: Miss) -> Refusal {
+fn rejection(miss: Miss) -> Rejection {
     match miss {
         Miss::NoIntent => (Kind::NoIntent, String::new()),
         Miss::UnknownModel => (Kind::UnknownModel, String::new()),
--- a/components/routing/src/requests/ending.rs
+++ b/components/routing/src/requests/completion.rs
@@ -7,28 +7,34 @@
 
 use crate::requests::request::Phase;
 use crate::state::State;
-use crate::{Ask, Decision, Effect};
+use crate::{Arrival, Decision, Effect};
 
 impl State {
     /// Refuses a request on which nothing was decided.
-    pub(crate) fn refuse(&self, ask: &Ask, kind: Kind, detail: &str, now: Millis) -> Vec<Effect> {
-        let held = self.held_back(ask.content, now).filter(|_| kind == Kind::HeldBack);
+    pub(crate) fn reject(
+        &self,
+        ask: &Arrival,
+        kind: Kind,
+        detail: &str,
+        now: Millis,
+    ) -> Vec<Effect> {
+        let held = self.held_back(ask.fingerprint, now).filter(|_| kind == Kind::HeldBack);
         let after = held.map_or_else(|| self.retry_after_ms(kind, now), |left| left.0);
         let decision = Decision {
             request: ask.request.clone(),
             workspace: ask.workspace.clone(),
             kind: ask.kind.clone(),
-            content: ask.content,
+            content: ask.fingerprint,
             model: ask.model.clone(),
             intent: None,
             generation: self.generation(),
-            proof_ms: self.proof_ms(now),
+            proof_ms: self.confirmation_age_ms(now),
             status: None,
             came: now,
             answered: None,
             pause: Millis::ZERO,
             ended: now,
-            shared: ask.shared.last().copied(),
+            shared: ask.prefixes.last().copied(),
             passed: Vec::new(),
             tries: Vec::new(),
             pool: "".into(),
@@ -42,7 +48,7 @@
     }
 
     /// The caller has gone away.
-    pub(crate) fn quit(&mut self, id: u64, now: Millis) -> Vec<Effect> {
+    pub(crate) fn cancel(&mut self, id: u64, now: Millis) -> Vec<Effect> {
         let Some(request) = self.requests.get(&id) else {
             return Vec::new();
         };
@@ -72,7 +78,7 @@
     }
 
     /// Ends a request and the attempt that is under way.
-    pub(crate) fn cut(&mut self, id: u64, kind: Kind, now: Millis) -> Vec<Effect> {
+    pub(crate) fn abort(&mut self, id: u64, kind: Kind, now: Millis) -> Vec<Effect> {
         let mut effects = vec![Effect::Cancel];
         effects.extend(self.fail(id, kind, 0, "", now));
         effects
@@ -94,12 +100,13 @@
             return Vec::new();
         };
         let kind = match kind.row().outcome {
-            Outcome::NotRun => request.uncertain().unwrap_or(kind),
+            Outcome::NotRun => request.uncertain_error().unwrap_or(kind),
             Outcome::Unknown | Outcome::Ran => kind,
         };
         let retry_after_ms = retry_after_ms.max(self.retry_after_ms(kind, now));
-        let answer = Effect::answer(kind, &request.ask.request, retry_after_ms, detail);
-        let first = if request.is_answering() { Effect::Cut(answer) } else { Effect::Fail(answer) };
+        let answer = Effect::answer(kind, &request.arrival.request, retry_after_ms, detail);
+        let first =
+            if request.is_answering() { Effect::Abort(answer) } else { Effect::Fail(answer) };
         let mut effects = vec![first];
         effects.extend(self.close(id, Some(kind), detail, now));
         effects
@@ -113,8 +120,8 @@
         detail: &str,
         now: Millis,
     ) -> Vec<Effect> {
-        self.release(id);
-        self.give_back(id, error);
+        self.release_load(id);
+        self.release_permit(id, error);
         let Some(mut request) = self.requests.remove(&id) else {
             return Vec::new();
         };
@@ -124,27 +131,27 @@
             last.error = error;
         }
         if error.is_none() {
-            self.note_end(&request, now);
-            self.note_whole(request.ask.content, now);
-            self.durations.note(&request.ask.kind, request.came, now);
+            self.record_completion(&request, now);
+            self.note_whole(request.arrival.fingerprint, now);
+            self.durations.note(&request.arrival.kind, request.arrived, now);
         }
-        let shared = request.ask.shared.last().copied();
+        let shared = request.arrival.prefixes.last().copied();
         let decision = Decision {
-            request: request.ask.request,
-            workspace: request.ask.workspace,
-            kind: request.ask.kind,
-            content: request.ask.content,
-            model: request.ask.model,
+            request: request.arrival.request,
+            workspace: request.arrival.workspace,
+            kind: request.arrival.kind,
+            content: request.arrival.fingerprint,
+            model: request.arrival.model,
             intent: Some(request.intent),
             generation: request.generation,
             proof_ms: request.proof_ms,
             status: request.status,
-            came: request.came,
-            answered: request.answered,
-            pause: request.pause,
+            came: request.arrived,
+            answered: request.answered_at,
+            pause: request.longest_gap,
             ended: now,
             shared,
-            passed: request.passed,
+            passed: request.exclusions,
             tries: request.tries,
             pool: request.pool,
             standing: request.standing,
@@ -159,15 +166,15 @@
 
     /// The current attempt is over: its load is no longer at its upstream. A
     /// sidecar tells its load itself.
-    pub(crate) fn release(&mut self, id: u64) {
+    pub(crate) fn release_load(&mut self, id: u64) {
         if self.settings.path.has_sidecars() {
             return;
         }
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(last) = request.tries.last_mut().filter(|it| !it.over) else { return };
-        last.over = true;
-        let waits = std::mem::replace(&mut last.waits, false);
-        let weight = request.ask.weight;
+        let Some(last) = request.tries.last_mut().filter(|it| !it.is_released) else { return };
+        last.is_released = true;
+        let waits = std::mem::replace(&mut last.is_waiting, false);
+        let weight = request.arrival.weight;
         if let Some(upstream) = self.upstreams.get_mut(&last.upstream) {
             upstream.release(weight);
             if waits {
--- a/components/routing/src/requests/decision.rs
+++ b/components/routing/src/requests/decision.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use shares::Standing;
 
-use crate::Part;
+use crate::Prefix;
 
 /// Why a request went where it went, or did not run.
 #[derive(Clone, Debug, Serialize)]
@@ -38,9 +38,9 @@
     /// When it got its final answer.
     pub ended: Millis,
     /// What it shares with other requests: the longest part, if it shares any.
-    pub shared: Option<Part>,
+    pub shared: Option<Prefix>,
     /// The first upstreams that were passed over, and why.
-    pub passed: Vec<Passed>,
+    pub passed: Vec<Exclusion>,
     /// The attempts, in order.
     pub tries: Vec<Try>,
     /// The pool that it was for; empty if none was found.
@@ -59,7 +59,7 @@
 
 /// An upstream that was passed over.
 #[derive(Clone, Debug, Serialize)]
-pub struct Passed {
+pub struct Exclusion {
     /// The upstream.
     pub upstream: Arc<str>,
     /// Why.
@@ -75,7 +75,7 @@
     pub sent: Millis,
     /// When something last came in answer, or when it was sent.
     #[serde(skip)]
-    pub(crate) heard: Millis,
+    pub(crate) last_received: Millis,
     /// The load that was believed to be there, this request left out.
     pub load: u64,
     /// How many requests were believed to wait there that it had to wait for.
@@ -93,14 +93,14 @@
     pub error: Option<Kind>,
     /// Whether its answer has not begun.
     #[serde(skip)]
-    pub(crate) waits: bool,
+    pub(crate) is_waiting: bool,
     /// Whether nothing came for too long.
     #[serde(skip)]
-    pub(crate) silent: bool,
+    pub(crate) is_silent: bool,
     /// What its outcome was counted as, if it has been.
     #[serde(skip)]
-    pub(crate) judged: Option<bool>,
+    pub(crate) recorded_outcome: Option<bool>,
     /// Whether it is no longer under way.
     #[serde(skip)]
-    pub(crate) over: bool,
+    pub(crate) is_released: bool,
 }
--- a/components/routing/src/requests/sending.rs
+++ b/components/routing/src/requests/dispatch.rs
@@ -9,8 +9,8 @@
 
 use crate::beliefs::outlook::{Outlook, ms};
 use crate::beliefs::upstream::{COLD, EVACUATED, OVER_BOUND, RESTS};
-use crate::choosing::need::Need;
 use crate::requests::request::{Phase, Request};
+use crate::selection::prefill::Need;
 use crate::state::State;
 use crate::{Attempt, Effect, Try};
 
@@ -19,14 +19,14 @@
 
 impl State {
     /// Sends to the next candidate, or gives up.
-    pub(crate) fn attempt(&mut self, id: u64, now: Millis) -> Vec<Effect> {
+    pub(crate) fn send_next(&mut self, id: u64, now: Millis) -> Vec<Effect> {
         // Others may have ended under it while it waited or was elsewhere.
-        let content = self.requests.get(&id).map(|it| it.ask.content);
+        let content = self.requests.get(&id).map(|it| it.arrival.fingerprint);
         if let Some(left) = content.and_then(|it| self.held_back(it, now)) {
             return self.fail(id, Kind::HeldBack, left.0, "", now);
         }
         let Some(upstream) = self.next_candidate(id, now) else {
-            let passed = self.requests.get(&id).and_then(|it| it.passed.first());
+            let passed = self.requests.get(&id).and_then(|it| it.exclusions.first());
             let detail = passed.map_or("", |it| it.why);
             let kind = if detail == OVER_BOUND { Kind::OverBound } else { Kind::NoUpstream };
             let after = self.returns_after(id, detail, now);
@@ -38,7 +38,7 @@
         if self.should_wait(id, &upstream, now) {
             return self.wait(id);
         }
-        if let Some(after) = self.turn_away(id, &upstream, now) {
+        if let Some(after) = self.reject_late(id, &upstream, now) {
             return self.fail(id, Kind::WouldMiss, after, "", now);
         }
         self.send(id, &upstream, 0, now)
@@ -56,7 +56,7 @@
             }
             RESTS => {
                 let soonest = self.opens_in(&pool, now).unwrap_or_default();
-                soonest.0 + self.random.random_range(0..RETURNS.0)
+                soonest.0 + self.rng.random_range(0..RETURNS.0)
             }
             EVACUATED => self.settings.evacuated_retry_after_ms,
             _ => 0,
@@ -99,20 +99,20 @@
         let reading = self.begin_reading(id, name, now);
         let (request, upstream) = (&self.requests[&id], &self.upstreams[name]);
         let attempt = Attempt {
-            number: request.attempt(),
+            number: request.attempt_number(),
             upstream: name.clone(),
             address: upstream.host.address.clone(),
             incarnation,
-            weight: request.ask.weight,
+            weight: request.arrival.weight,
             priority: request.priority,
             remaining: now.until(request.deadline),
             timeout: self.timeout(request, now),
             generation: request.generation,
-            chat: key(&request.ask.workspace, &request.ask.chat),
-            home: request.hints.is_empty() && request.home.as_ref() == Some(name),
-            warm: request.tries.last().and_then(|it| it.warm.clone()),
+            chat: key(&request.arrival.workspace, &request.arrival.chat),
+            is_home: request.hints.is_empty() && request.home.as_ref() == Some(name),
+            copy_from: request.tries.last().and_then(|it| it.warm.clone()),
             resume: request.is_answering(),
-            fresh: request.tries.iter().any(|it| it.silent),
+            new_connection: request.tries.iter().any(|it| it.is_silent),
         };
         let mut effects = vec![Effect::Send(attempt)];
         effects.extend(reading);
@@ -129,7 +129,7 @@
             request.phase = Phase::Sent;
         }
         let load = upstream.load_at(&Outlook { now, ..request.outlook });
-        upstream.take(request.ask.weight);
+        upstream.take(request.arrival.weight);
         upstream.cold.send(now);
         let mechanisms = self.settings.mechanisms;
         let first = request.tries.is_empty();
@@ -137,7 +137,7 @@
         request.tries.push(Try {
             upstream: name.clone(),
             sent: now,
-            heard: now,
+            last_received: now,
             load,
             queued: forecast.queued,
             wait_ms: forecast.wait_ms.round(),
@@ -145,10 +145,10 @@
             read: need.read,
             warm: need.source,
             error: None,
-            waits: true,
-            silent: false,
-            judged: None,
-            over: false,
+            is_waiting: true,
+            is_silent: false,
+            recorded_outcome: None,
+            is_released: false,
         });
         if first {
             self.note_sent(id, now);
@@ -158,7 +158,7 @@
 
     /// How long the upstream of an attempt may say nothing.
     fn timeout(&self, request: &Request, now: Millis) -> Millis {
-        if self.settings.path.judges_upstreams() {
+        if self.settings.path.monitors_upstreams() {
             return request.silence();
         }
         Millis(self.settings.admit_ms).min(now.until(request.deadline))
--- a/components/routing/src/requests/ownership.rs
+++ b/components/routing/src/requests/ownership.rs
@@ -5,11 +5,16 @@
 
 use crate::requests::request::Phase;
 use crate::state::State;
-use crate::{Ask, Effect, Owner, Upstream};
+use crate::{Arrival, Effect, Owner, Upstream};
 
 impl State {
     /// Takes the answer to who owns a key.
-    pub(crate) fn bound(&mut self, id: u64, owner: Option<&Owner>, now: Millis) -> Vec<Effect> {
+    pub(crate) fn handle_key_bound(
+        &mut self,
+        id: u64,
+        owner: Option<&Owner>,
+        now: Millis,
+    ) -> Vec<Effect> {
         let Some(request) = self.requests.get(&id) else {
             return Vec::new();
         };
@@ -42,23 +47,30 @@
     /// there.
     fn may_own(&self, id: u64, owner: &Owner) -> bool {
         let lives = |it: &Upstream| it.incarnation <= owner.incarnation;
-        self.upstreams.get(&owner.upstream).is_some_and(lives) && self.may_go(id, &owner.upstream)
+        self.upstreams.get(&owner.upstream).is_some_and(lives)
+            && self.is_allowed(id, &owner.upstream)
     }
 
     /// Where the calls of a fresh idempotency key would go best now.
-    pub fn owner(&mut self, workspace: &str, kind: &str, seed: &str, now: Millis) -> Option<Owner> {
+    pub fn choose_owner(
+        &mut self,
+        workspace: &str,
+        kind: &str,
+        seed: &str,
+        now: Millis,
+    ) -> Option<Owner> {
         let plan = self.plan.clone()?;
         let target = plan.find(workspace, kind, None).ok()?;
-        let ask = Ask {
+        let ask = Arrival {
             id: 0,
             request: "".into(),
             workspace: workspace.into(),
             kind: kind.into(),
             model: None,
-            content: 0,
+            fingerprint: 0,
             chat: seed.into(),
-            once: None,
-            shared: Vec::new(),
+            idempotency_key: None,
+            prefixes: Vec::new(),
             weight: 1,
             deadline: None,
         };
--- a/components/routing/src/requests/placing.rs
+++ b/components/routing/src/requests/permits.rs
@@ -13,7 +13,7 @@
 
 use crate::Effect;
 use crate::beliefs::upstream::Upstream;
-use crate::requests::request::{Phase, Place};
+use crate::requests::request::{Permit, Phase};
 use crate::state::State;
 
 /// How long a pool is taken to be short after a refusal, until its owner says so.
@@ -28,19 +28,19 @@
 
 /// The pools that are short.
 #[derive(Debug)]
-pub(crate) struct Shorts {
+pub(crate) struct Saturation {
     until: BTreeMap<Arc<str>, Millis>,
     next: u64,
 }
 
-impl Shorts {
+impl Saturation {
     /// None yet; `seed` is the start of this router.
     pub(crate) fn new(seed: u64) -> Self {
         Self { until: BTreeMap::new(), next: seed << START_BITS }
     }
 
     /// A pool is short for so long, or no more.
-    pub(crate) fn hear(&mut self, pool: &Arc<str>, lasts: Millis, now: Millis) {
+    pub(crate) fn record(&mut self, pool: &Arc<str>, lasts: Millis, now: Millis) {
         if lasts == Millis::ZERO {
             self.until.remove(pool);
             return;
@@ -61,16 +61,16 @@
 impl State {
     /// Notes that a request was turned away for lack of room, where its pool has an owner for
     /// that; returns whether it has.
-    pub(crate) fn runs_short(&mut self, id: u64, now: Millis) -> bool {
+    pub(crate) fn report_saturation(&mut self, id: u64, now: Millis) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let pool = request.pool.clone();
-        let asks = request.objective_ms.is_some() && !request.ask.is_chat();
+        let asks = request.objective_ms.is_some() && !request.arrival.is_chat();
         if !asks || !self.has_owner(&pool) {
             return false;
         }
-        if !self.shorts.holds(&pool, now) {
-            self.shorts.hear(&pool, LASTS, now);
-            self.notices.push(Effect::RunsShort { pool });
+        if !self.saturation.holds(&pool, now) {
+            self.saturation.record(&pool, LASTS, now);
+            self.pending_effects.push(Effect::ReportSaturation { pool });
         }
         true
     }
@@ -80,7 +80,7 @@
     fn has_owner(&self, pool: &str) -> bool {
         let mut members = self.members_of(pool).peekable();
         self.settings.mechanisms.places
-            && self.settings.path.judges_upstreams()
+            && self.settings.path.monitors_upstreams()
             && !pool.is_empty()
             && members.peek().is_some()
             && members.all(|it| it.host.slots > 0 && !it.tells_load())
@@ -91,7 +91,7 @@
     }
 
     /// The upstreams of a pool that may be sent to, and their slots: what its owner grants.
-    pub fn places(&self, pool: &str, now: Millis) -> Vec<(Arc<str>, u64)> {
+    pub fn available_slots(&self, pool: &str, now: Millis) -> Vec<(Arc<str>, u64)> {
         let takes = |it: &&Upstream| {
             let gone = it.is_suspect(now) && !it.reachable;
             !it.is_leaving() && !it.evacuated && !it.word.rests(now) && !gone
@@ -111,22 +111,22 @@
         let pool = request.pool.clone();
         let objective_ms = u32::try_from(request.objective_ms?).unwrap_or(u32::MAX);
         let asks =
-            request.place == Place::None && !request.is_answering() && !request.ask.is_chat();
-        if !asks || !self.shorts.holds(&pool, now) || !self.has_owner(&pool) {
+            request.permit == Permit::None && !request.is_answering() && !request.arrival.is_chat();
+        if !asks || !self.saturation.holds(&pool, now) || !self.has_owner(&pool) {
             return None;
         }
-        let number = self.shorts.number();
+        let number = self.saturation.number();
         let request = self.requests.get_mut(&id)?;
         request.candidates.push(upstream.clone());
         request.phase = Phase::Claiming;
-        request.place = Place::Asked(number);
-        let age_ms = u32::try_from(request.came.until(now).0).unwrap_or(u32::MAX);
+        request.permit = Permit::Claimed(number);
+        let age_ms = u32::try_from(request.arrived.until(now).0).unwrap_or(u32::MAX);
         let mut avoid = request.unusable.clone();
         avoid.extend(request.tries.iter().map(|it| it.upstream.clone()));
         let claim = Claim {
             number,
-            workspace: request.ask.workspace.clone(),
-            content: request.ask.content,
+            workspace: request.arrival.workspace.clone(),
+            content: request.arrival.fingerprint,
             urgency: request.priority,
             repeatable: request.repeatable,
             objective_ms,
@@ -137,7 +137,7 @@
     }
 
     /// A request has got a place.
-    pub(crate) fn granted(
+    pub(crate) fn handle_granted(
         &mut self,
         id: u64,
         number: u64,
@@ -154,14 +154,14 @@
             return self.claim_anew(id, upstream, now);
         }
         let Some(request) = self.requests.get_mut(&id) else { return Vec::new() };
-        request.place = Place::Held(number);
+        request.permit = Permit::Held(number);
         request.candidates.retain(|it| it != upstream);
         self.send(id, upstream, 0, now)
     }
 
     /// A request gets no place. One that may have run goes on without: its caller could not send
     /// it again.
-    pub(crate) fn denied(
+    pub(crate) fn handle_denied(
         &mut self,
         id: u64,
         number: u64,
@@ -171,17 +171,17 @@
         if !self.claims(id, number) {
             return Vec::new();
         }
-        if self.requests.get(&id).is_some_and(|it| it.uncertain().is_some()) {
-            return self.unanswered(id, number, now);
+        if self.requests.get(&id).is_some_and(|it| it.uncertain_error().is_some()) {
+            return self.handle_unanswered(id, number, now);
         }
         if let Some(request) = self.requests.get_mut(&id) {
-            request.place = Place::None;
+            request.permit = Permit::None;
         }
         self.fail(id, Kind::WouldMiss, after_ms, "", now)
     }
 
     /// A request goes without a place that an owner grants.
-    pub(crate) fn unanswered(&mut self, id: u64, number: u64, now: Millis) -> Vec<Effect> {
+    pub(crate) fn handle_unanswered(&mut self, id: u64, number: u64, now: Millis) -> Vec<Effect> {
         if !self.claims(id, number) {
             return Vec::new();
         }
@@ -189,26 +189,26 @@
             return self.fail(id, Kind::ExpiredWaiting, 0, "", now);
         }
         if let Some(request) = self.requests.get_mut(&id) {
-            request.place = Place::Own;
+            request.permit = Permit::Local;
         }
-        self.attempt(id, now)
+        self.send_next(id, now)
     }
 
     /// Gives back the place of a request whose attempt has ended, or takes back its ask.
-    pub(crate) fn give_back(&mut self, id: u64, error: Option<Kind>) {
+    pub(crate) fn release_permit(&mut self, id: u64, error: Option<Kind>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let place = std::mem::take(&mut request.place);
-        let (Place::Asked(number) | Place::Held(number)) = place else { return };
-        let end = if place == Place::Held(number) { finish(error) } else { Finish::Unused };
-        let took = request.tries.last().map_or(Millis::ZERO, |it| it.sent.until(it.heard));
+        let place = std::mem::take(&mut request.permit);
+        let (Permit::Claimed(number) | Permit::Held(number)) = place else { return };
+        let end = if place == Permit::Held(number) { finish(error) } else { Finish::Unused };
+        let took = request.tries.last().map_or(Millis::ZERO, |it| it.sent.until(it.last_received));
         let pool = request.pool.clone();
-        self.notices.push(Effect::Release { pool, number, end, took });
+        self.pending_effects.push(Effect::Release { pool, number, end, elapsed: took });
     }
 
     /// Whether a request has asked under this number and not been answered.
     fn claims(&self, id: u64, number: u64) -> bool {
-        let asks = |it: &Place| *it == Place::Asked(number);
-        self.requests.get(&id).is_some_and(|it| it.phase == Phase::Claiming && asks(&it.place))
+        let asks = |it: &Permit| *it == Permit::Claimed(number);
+        self.requests.get(&id).is_some_and(|it| it.phase == Phase::Claiming && asks(&it.permit))
     }
 
     /// Whether the time of a request is over, which nobody tells while it asks.
@@ -221,19 +221,19 @@
         let takes = |it: &Upstream| !it.is_leaving() && !it.evacuated && !it.word.rests(now);
         self.upstreams.get(upstream).is_some_and(takes)
             && !self.takes_nothing(upstream, now)
-            && self.may_go(id, upstream)
+            && self.is_allowed(id, upstream)
     }
 
     /// Gives back a place that can't be used, and asks for another.
     fn claim_anew(&mut self, id: u64, upstream: &Arc<str>, now: Millis) -> Vec<Effect> {
-        self.give_back(id, None);
+        self.release_permit(id, None);
         let Some(request) = self.requests.get_mut(&id) else { return Vec::new() };
         request.unusable.push(upstream.clone());
         request.candidates.retain(|it| it != upstream);
         if request.unusable.len() >= MOST_CLAIMS {
             return self.fail(id, Kind::NoUpstream, 0, "", now);
         }
-        self.attempt(id, now)
+        self.send_next(id, now)
     }
 }
 
--- a/components/routing/src/requests/reply.rs
+++ b/components/routing/src/requests/reply.rs
@@ -7,8 +7,8 @@
 use placement::key;
 use wire::{Broken, Chunk, End, Head, Note, Refused, Stage, Status};
 
-use crate::choosing::share::share;
 use crate::requests::request::{Phase, Request};
+use crate::selection::prefixes::share;
 use crate::state::State;
 use crate::{Effect, Reply};
 
@@ -19,7 +19,7 @@
 const FAILURES: u16 = 500;
 
 impl State {
-    pub(crate) fn reply(
+    pub(crate) fn handle_reply(
         &mut self,
         id: u64,
         attempt: u32,
@@ -37,14 +37,14 @@
             Reply::Chunk(chunk) => self.chunk(id, chunk, now),
             Reply::End(end) => self.end(id, end, now),
             Reply::Broken(broken) => self.broken(id, broken, now),
-            Reply::Strange => self.cut(id, Kind::Crossed, now),
+            Reply::Unexpected => self.abort(id, Kind::Crossed, now),
         }
     }
 
     /// Whether replies to `attempt` still count.
     fn is_current(&self, id: u64, attempt: u32) -> bool {
         self.requests.get(&id).is_some_and(|it| {
-            it.attempt() == attempt && !matches!(it.phase, Phase::Binding | Phase::Claiming)
+            it.attempt_number() == attempt && !matches!(it.phase, Phase::Binding | Phase::Claiming)
         })
     }
 
@@ -53,10 +53,10 @@
         if !refused.hints.is_empty() {
             self.follow(id, refused);
         }
-        if self.settings.path.judges_upstreams() {
+        if self.settings.path.monitors_upstreams() {
             match refused.kind {
                 Kind::Leaving => self.replaced(id, now),
-                Kind::QueueFull if self.runs_short(id, now) => {}
+                Kind::QueueFull if self.report_saturation(id, now) => {}
                 Kind::QueueFull => self.turned_away(id, now),
                 _ => {}
             }
@@ -67,7 +67,7 @@
     /// The chat's context is elsewhere: those places are next, then the home
     /// itself if it has room. A hint never leads past the intents.
     fn follow(&mut self, id: u64, refused: &Refused) {
-        let allowed = |hint: &&Arc<str>| self.may_go(id, hint);
+        let allowed = |hint: &&Arc<str>| self.is_allowed(id, hint);
         let mut hints: Vec<_> = refused.hints.iter().filter(allowed).cloned().collect();
         let Some(request) = self.requests.get_mut(&id) else { return };
         if !request.hints.is_empty() {
@@ -92,8 +92,8 @@
             return None;
         }
         let upstream = self.upstreams.get(home)?;
-        let chat = key(&request.ask.workspace, &request.ask.chat);
-        Some(Effect::Note {
+        let chat = key(&request.arrival.workspace, &request.arrival.chat);
+        Some(Effect::UpdateDirectory {
             upstream: home.clone(),
             address: upstream.host.address.clone(),
             note: Note { chat, upstream: served.clone() },
@@ -114,8 +114,8 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return Vec::new();
         };
-        if head.attempt != request.attempt() {
-            return self.cut(id, Kind::Crossed, now);
+        if head.attempt != request.attempt_number() {
+            return self.abort(id, Kind::Crossed, now);
         }
         if request.is_answering() {
             return self.resumed(id, head.status, now);
@@ -124,32 +124,33 @@
         let Some(request) = self.requests.get(&id) else {
             return Vec::new();
         };
-        if head.status >= FAILURES && request.repeatable && self.settings.path.judges_upstreams() {
+        if head.status >= FAILURES && request.repeatable && self.settings.path.monitors_upstreams()
+        {
             return self.failed(id, head, now);
         }
         let Some(request) = self.requests.get_mut(&id) else {
             return Vec::new();
         };
-        request.answer(head.status, now);
+        request.start_answer(head.status, now);
         let mut effects = vec![Effect::Head(head)];
         if let Some(upstream) = request.upstream().cloned() {
-            let parts = self.warmth.read(&request.ask.hashes(), &upstream);
+            let parts = self.warmth.read(&request.arrival.prefix_hashes(), &upstream);
             effects.extend(share(&upstream, parts, Stage::Read));
             self.alive(&upstream);
         }
-        self.begin_answer(id, now);
+        self.record_answer_start(id, now);
         effects
     }
 
     /// Another upstream goes on with an answer: the caller keeps the head of the
     /// one that began it, and a failure is no part of it.
     fn resumed(&mut self, id: u64, status: u16, now: Millis) -> Vec<Effect> {
-        let resumed = |it: &Request| it.resumable && it.attempt() > 1;
+        let resumed = |it: &Request| it.resumable && it.attempt_number() > 1;
         if !self.requests.get(&id).is_some_and(resumed) {
-            return self.cut(id, Kind::Crossed, now);
+            return self.abort(id, Kind::Crossed, now);
         }
         if status < NO_SUCCESS {
-            self.begin_answer(id, now);
+            self.record_answer_start(id, now);
             return Vec::new();
         }
         let mut effects = vec![Effect::Cancel];
@@ -163,11 +164,11 @@
         if self.may_try_elsewhere(id, Kind::UpstreamFailed, now) {
             self.mark(id, Kind::UpstreamFailed);
             let mut effects = vec![Effect::Cancel];
-            effects.extend(self.attempt(id, now));
+            effects.extend(self.send_next(id, now));
             return effects;
         }
         if let Some(request) = self.requests.get_mut(&id) {
-            request.answer(head.status, now);
+            request.start_answer(head.status, now);
         }
         vec![Effect::Head(head)]
     }
@@ -176,19 +177,19 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return Vec::new();
         };
-        request.relay(now);
-        let attempt = request.attempt();
+        request.record_chunk(now);
+        let attempt = request.attempt_number();
         let Phase::Answering { chunks, bytes } = &mut request.phase else {
-            return self.cut(id, Kind::Crossed, now);
+            return self.abort(id, Kind::Crossed, now);
         };
         if chunk.attempt != attempt {
-            return self.cut(id, Kind::Crossed, now);
+            return self.abort(id, Kind::Crossed, now);
         }
         if chunk.sequence < *chunks {
             return Vec::new();
         }
         if chunk.sequence > *chunks {
-            return self.cut(id, Kind::Truncated, now);
+            return self.abort(id, Kind::Truncated, now);
         }
         *chunks += 1;
         *bytes += chunk.bytes.len() as u64;
@@ -200,12 +201,12 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return Vec::new();
         };
-        if end.attempt != request.attempt() {
-            return self.cut(id, Kind::Crossed, now);
+        if end.attempt != request.attempt_number() {
+            return self.abort(id, Kind::Crossed, now);
         }
         let whole = Phase::Answering { chunks: end.chunks, bytes: end.bytes };
         if request.phase != whole {
-            return self.cut(id, Kind::Truncated, now);
+            return self.abort(id, Kind::Truncated, now);
         }
         let mut effects: Vec<_> = self.note(id).into_iter().collect();
         effects.push(Effect::Finish);
@@ -217,8 +218,8 @@
         let Some(request) = self.requests.get(&id) else {
             return Vec::new();
         };
-        if broken.attempt != request.attempt() {
-            return self.cut(id, Kind::Crossed, now);
+        if broken.attempt != request.attempt_number() {
+            return self.abort(id, Kind::Crossed, now);
         }
         if request.is_answering() && !request.resumable {
             let kind = if broken.kind.row().outcome == Outcome::Ran {
@@ -231,7 +232,13 @@
         self.try_elsewhere(id, broken.kind, 0, now)
     }
 
-    pub(crate) fn lost(&mut self, id: u64, attempt: u32, sent: bool, now: Millis) -> Vec<Effect> {
+    pub(crate) fn handle_connection_failure(
+        &mut self,
+        id: u64,
+        attempt: u32,
+        sent: bool,
+        now: Millis,
+    ) -> Vec<Effect> {
         if !self.is_current(id, attempt) {
             return Vec::new();
         }
@@ -258,8 +265,8 @@
 
     /// A sidecar that says nothing is frozen or cut off; the request may still
     /// run there.
-    pub(crate) fn stalled(&mut self, id: u64, attempt: u32, now: Millis) -> Vec<Effect> {
-        if self.settings.path.judges_upstreams() {
+    pub(crate) fn handle_stall(&mut self, id: u64, attempt: u32, now: Millis) -> Vec<Effect> {
+        if self.settings.path.monitors_upstreams() {
             let looks = self.settings.mechanisms.silence;
             return if looks && self.is_current(id, attempt) {
                 self.quiet(id, now)
@@ -272,7 +279,7 @@
             return Vec::new();
         }
         let mut effects = vec![Effect::Cancel];
-        effects.extend(self.lost(id, attempt, true, now));
+        effects.extend(self.handle_connection_failure(id, attempt, true, now));
         effects
     }
 }
--- a/components/routing/src/requests/request.rs
+++ b/components/routing/src/requests/request.rs
@@ -7,7 +7,7 @@
 use shares::Standing;
 
 use crate::beliefs::outlook::Outlook;
-use crate::{Ask, Once, Passed, Try};
+use crate::{Arrival, Exclusion, IdempotencyKey, Try};
 
 /// How far the current attempt has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,23 +28,23 @@
 
 /// How a request stands with the owner of its pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Place {
+pub(crate) enum Permit {
     /// It has asked for none.
     #[default]
     None,
     /// It has asked, under this number.
-    Asked(u64),
+    Claimed(u64),
     /// It holds the permit of this number.
     Held(u64),
     /// It goes without a permit, by this router's own part.
-    Own,
+    Local,
 }
 
 /// The state of a request between its arrival and its final answer.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
-    pub ask: Ask,
-    pub came: Millis,
+    pub arrival: Arrival,
+    pub arrived: Millis,
     /// How old the proof was that the configuration in force is the newest.
     pub proof_ms: Option<u64>,
     /// The view on its pool when it came.
@@ -52,21 +52,21 @@
     /// The status of the answer that was passed on.
     pub status: Option<u16>,
     /// When the head of the answer was passed on, and when the last part was.
-    pub answered: Option<Millis>,
-    pub relayed: Option<Millis>,
+    pub answered_at: Option<Millis>,
+    pub relayed_at: Option<Millis>,
     /// The longest that the caller waited between two parts.
-    pub pause: Millis,
+    pub longest_gap: Millis,
     pub deadline: Millis,
     /// The time to an answer, or to its first event, that callers hope for.
     pub objective_ms: Option<u64>,
     /// Until when it may wait for another request's reading.
-    pub patience: Millis,
+    pub wait_until: Millis,
     pub phase: Phase,
     pub repeatable: bool,
     /// Whether a broken answer may be continued at another upstream.
     pub resumable: bool,
     /// The most upstreams that it may be sent to.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// The pool whose retry budget it draws on.
     pub pool: Arc<str>,
     pub priority: i32,
@@ -74,50 +74,50 @@
     pub generation: u64,
     /// The candidates not tried yet, the next one last.
     pub candidates: Vec<Arc<str>>,
-    pub passed: Vec<Passed>,
+    pub exclusions: Vec<Exclusion>,
     /// The chat's first upstream in rank, which keeps its directory entry.
     pub home: Option<Arc<str>>,
     /// The first in rank, where the chat's context is warm if anywhere.
-    pub first: Option<Arc<str>>,
+    pub first_ranked: Option<Arc<str>>,
     /// Where the home said that the chat's context is.
     pub hints: Vec<Arc<str>>,
     pub tries: Vec<Try>,
     /// How its workspace stood to its share when it was turned away.
     pub standing: Option<Standing>,
     /// Its place in a pool that is short.
-    pub place: Place,
+    pub permit: Permit,
     /// Upstreams where it was granted a place that it can't use.
     pub unusable: Vec<Arc<str>>,
 }
 
 impl Request {
-    pub(crate) fn attempt(&self) -> u32 {
+    pub(crate) fn attempt_number(&self) -> u32 {
         u32::try_from(self.tries.len()).unwrap_or(u32::MAX)
     }
 
     /// How many upstreams the request has been sent to; one that no connection
     /// led to is none.
-    pub(crate) fn reached(&self) -> u32 {
+    pub(crate) fn reached_count(&self) -> u32 {
         let reached = self.tries.iter().filter(|it| it.error != Some(Kind::Unreachable));
         u32::try_from(reached.count()).unwrap_or(u32::MAX)
     }
 
     /// The head of an answer is passed on.
-    pub(crate) fn answer(&mut self, status: u16, now: Millis) {
+    pub(crate) fn start_answer(&mut self, status: u16, now: Millis) {
         self.phase = Phase::Answering { chunks: 0, bytes: 0 };
         self.status = Some(status);
-        self.answered = Some(now);
+        self.answered_at = Some(now);
     }
 
     /// A part of an answer is passed on.
-    pub(crate) fn relay(&mut self, now: Millis) {
-        let pause = self.relayed.map_or(Millis::ZERO, |it| it.until(now));
-        self.pause = self.pause.max(pause);
-        self.relayed = Some(now);
+    pub(crate) fn record_chunk(&mut self, now: Millis) {
+        let pause = self.relayed_at.map_or(Millis::ZERO, |it| it.until(now));
+        self.longest_gap = self.longest_gap.max(pause);
+        self.relayed_at = Some(now);
     }
 
-    pub(crate) fn once(&self) -> Option<&Once> {
-        self.ask.once.as_ref()
+    pub(crate) fn idempotency_key(&self) -> Option<&IdempotencyKey> {
+        self.arrival.idempotency_key.as_ref()
     }
 
     /// Where the current attempt went.
@@ -126,7 +126,7 @@
     }
 
     /// The error of an attempt that may have run, if there was one.
-    pub(crate) fn uncertain(&self) -> Option<Kind> {
+    pub(crate) fn uncertain_error(&self) -> Option<Kind> {
         let mut errors = self.tries.iter().filter_map(|it| it.error);
         errors.find(|kind| kind.row().outcome != Outcome::NotRun)
     }
--- a/components/routing/src/choosing/choice.rs
+++ b/components/routing/src/selection/candidates.rs
@@ -11,7 +11,7 @@
 use crate::beliefs::outlook::Outlook;
 use crate::beliefs::room::{Deal, is_short};
 use crate::beliefs::upstream::{DEALT, OVER_BOUND, POOR, SUSPECT};
-use crate::{Ask, Passed, Policy, Settings, Upstream};
+use crate::{Arrival, Exclusion, Policy, Settings, Upstream};
 
 /// The most upstreams that one request may be tried at.
 const MAX_CANDIDATES: usize = 16;
@@ -42,7 +42,7 @@
     /// The candidates, the best last.
     pub candidates: Vec<Arc<str>>,
     /// The best of those that were passed over.
-    pub passed: Vec<Passed>,
+    pub passed: Vec<Exclusion>,
     /// The first in rank of those that are up, whatever their load; it keeps
     /// the chat's directory entry.
     pub home: Option<Arc<str>>,
@@ -60,7 +60,7 @@
         &mut self,
         upstreams: &Upstreams,
         target: &Target<'_>,
-        ask: &Ask,
+        ask: &Arrival,
         settings: &Settings,
         outlook: &Outlook,
     ) -> Choice {
@@ -73,9 +73,9 @@
         let passed = top(key, sorted.objected.iter(), MAX_PASSED, |(it, _)| (it.name(), 1.0));
         let passed = passed
             .into_iter()
-            .map(|(it, why)| Passed { upstream: it.name().clone(), why })
+            .map(|(it, why)| Exclusion { upstream: it.name().clone(), why })
             .collect();
-        let policy = if settings.path.spreads_calls() && !ask.is_chat() {
+        let policy = if settings.path.balances_calls() && !ask.is_chat() {
             Policy::Lightest
         } else {
             settings.policy
@@ -96,7 +96,12 @@
         }
     }
 
-    fn fitting(&mut self, upstreams: &Upstreams, target: &Target<'_>, ask: &Ask) -> Arc<[usize]> {
+    fn fitting(
+        &mut self,
+        upstreams: &Upstreams,
+        target: &Target<'_>,
+        ask: &Arrival,
+    ) -> Arc<[usize]> {
         let (intent, homes) = (target.intent, target.homes);
         let model = ask.model.as_deref();
         let share = share(intent, &ask.request);
@@ -146,7 +151,7 @@
         let pool = (!settings.path.has_sidecars()).then(|| pool(fitting.clone(), outlook));
         let short = outlook.deals(settings) && is_short(fitting.clone(), outlook.now);
         let deal = pool.filter(|_| short).map(|pool| Deal { pool, bound: settings.bound });
-        let judged = settings.path.judges_upstreams() && settings.mechanisms.health;
+        let judged = settings.path.monitors_upstreams() && settings.mechanisms.health;
         let outcomes = judged.then(|| outcomes(fitting.clone(), outlook));
         for upstream in fitting {
             let objection = upstream.objection(weight, pool, outcomes, settings, outlook);
--- a/components/routing/src/choosing/need.rs
+++ b/components/routing/src/selection/prefill.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use crate::beliefs::warmth::Warmth;
-use crate::choosing::choice::Upstreams;
 use crate::requests::request::Request;
+use crate::selection::candidates::Upstreams;
 use crate::{Mechanisms, Upstream};
 
 /// From which share of its slots, one in so many, an upstream is taken to drop parts: the
@@ -46,10 +46,10 @@
             let source = upstreams.get(name).filter(sound).filter(|_| mechanisms.copies)?;
             Some(source.host.address.clone())
         };
-        let first = request.first.as_ref().filter(|it| *it != name);
-        let shared = &request.ask.shared;
+        let first = request.first_ranked.as_ref().filter(|it| *it != name);
+        let shared = &request.arrival.prefixes;
         let held = shared.iter().rev().find(|it| warmth.holds(it.hash, name));
-        let (all, held) = (request.ask.shared_tokens(), held.map_or(0, |it| it.tokens));
+        let (all, held) = (request.arrival.prefix_tokens(), held.map_or(0, |it| it.tokens));
         for (depth, part) in shared.iter().rev().enumerate().take_while(|(_, it)| it.tokens > held)
         {
             let lacks = part.tokens - held;
--- a/components/routing/src/choosing/share.rs
+++ b/components/routing/src/selection/prefixes.rs
@@ -8,7 +8,7 @@
 
 use crate::requests::request::{Phase, Request};
 use crate::state::State;
-use crate::{Effect, Part};
+use crate::{Effect, Prefix};
 
 /// The share of its objective that a request may wait: one part in so many. With
 /// the longest common part, 10,512 tokens on the mean, read in 220 ms, a quarter
@@ -35,12 +35,12 @@
 pub(crate) fn share(upstream: &Arc<str>, mut parts: Vec<u64>, stage: Stage) -> Option<Effect> {
     parts.truncate(MAX_TOLD);
     let warm = Warm { upstream: upstream.clone(), parts, stage };
-    (!warm.parts.is_empty()).then_some(Effect::Share(warm))
+    (!warm.parts.is_empty()).then_some(Effect::PublishPrefixes(warm))
 }
 
 impl State {
     /// Takes another router's word on an upstream.
-    pub(crate) fn warm(&mut self, warm: &Warm, now: Millis) -> Vec<Effect> {
+    pub(crate) fn receive_prefixes(&mut self, warm: &Warm, now: Millis) -> Vec<Effect> {
         if !self.upstreams.contains_key(&warm.upstream) {
             return Vec::new();
         }
@@ -53,7 +53,7 @@
 
     /// What is known of warm parts at the upstreams there are, for routers that start,
     /// and how often it has changed.
-    pub fn warm_parts(&self) -> (u64, Vec<Warm>) {
+    pub fn warm_prefixes(&self) -> (u64, Vec<Warm>) {
         let mut held = self.warmth.latest(MOST_REMEMBERED);
         held.retain(|upstream, _| self.upstreams.contains_key(upstream));
         let warm = |(upstream, parts)| Warm { upstream, parts, stage: Stage::Read };
@@ -66,11 +66,11 @@
         let Some(request) = self.requests.get(&id) else {
             return false;
         };
-        let reading = |part: &Part| self.warmth.is_reading(part.hash, upstream, now);
+        let reading = |part: &Prefix| self.warmth.is_reading(part.hash, upstream, now);
         self.settings.mechanisms.waits
             && request.tries.is_empty()
-            && now < request.patience
-            && request.ask.shared.last().is_some_and(reading)
+            && now < request.wait_until
+            && request.arrival.prefixes.last().is_some_and(reading)
     }
 
     /// Lets a request wait a little.
@@ -82,13 +82,13 @@
     }
 
     /// A request has waited: upstreams are ranked anew, as loads have changed.
-    pub(crate) fn waited(&mut self, id: u64, now: Millis) -> Vec<Effect> {
+    pub(crate) fn handle_wait_elapsed(&mut self, id: u64, now: Millis) -> Vec<Effect> {
         let waiting = |it: &Request| it.phase == Phase::Waiting;
         if !self.requests.get(&id).is_some_and(waiting) {
             return Vec::new();
         }
         self.rank(id, now);
-        self.attempt(id, now)
+        self.send_next(id, now)
     }
 
     /// What others should know when a request is sent to `upstream`, which has
@@ -100,12 +100,12 @@
         now: Millis,
     ) -> Option<Effect> {
         let request = self.requests.get(&id)?;
-        let last = request.ask.shared.last()?;
+        let last = request.arrival.prefixes.last()?;
         let elsewhere = self.warmth.places(last.hash).any(|it| self.upstreams.contains_key(it));
-        if !self.settings.path.follows_parts() || elsewhere {
+        if !self.settings.path.tracks_prefixes() || elsewhere {
             return None;
         }
-        let parts = self.warmth.begin(&request.ask.hashes(), upstream, now);
+        let parts = self.warmth.begin(&request.arrival.prefix_hashes(), upstream, now);
         share(upstream, parts, Stage::Reading)
     }
 }
--- a/components/routing/src/choosing/ranking.rs
+++ b/components/routing/src/selection/ranking.rs
@@ -6,12 +6,12 @@
 use intents::{Intent, Selector};
 
 use crate::beliefs::outlook::Outlook;
-use crate::choosing::choice::Choice;
+use crate::selection::candidates::Choice;
 use crate::state::State;
-use crate::{Ask, Policy, Upstream};
+use crate::{Arrival, Policy, Upstream};
 
 /// The label that names the pool an upstream belongs to.
-pub(crate) const POOL: &str = "service";
+pub(crate) const POOL_LABEL: &str = "service";
 
 impl State {
     /// Ranks the upstreams that a request may go to, as they are now.
@@ -19,7 +19,7 @@
         let (Some(plan), Some(request)) = (self.plan.clone(), self.requests.get(&id)) else {
             return;
         };
-        let ask = &request.ask;
+        let ask = &request.arrival;
         let Ok(target) = ask.target(&plan) else {
             return;
         };
@@ -36,9 +36,9 @@
             request.pool = pool;
             request.outlook = outlook;
             request.candidates = candidates;
-            request.passed = passed;
+            request.exclusions = passed;
             request.home = home.filter(|_| self.settings.policy == Policy::Directory);
-            request.first = first;
+            request.first_ranked = first;
         }
     }
 
@@ -46,20 +46,20 @@
     /// has the best last. An engine that is new draws no prompts from the others then:
     /// copies cost 0.0091 of what a day is worth in place of 0.0119, by three runs of each
     /// of five days.
-    fn put_warm_first(&self, candidates: &mut [Arc<str>], ask: &Ask) {
-        if !self.settings.path.follows_parts() || !self.settings.mechanisms.warm_first {
+    fn put_warm_first(&self, candidates: &mut [Arc<str>], ask: &Arrival) {
+        if !self.settings.path.tracks_prefixes() || !self.settings.mechanisms.warm_first {
             return;
         }
-        if let Some(part) = ask.shared.last() {
+        if let Some(part) = ask.prefixes.last() {
             candidates.sort_by_key(|it| self.warmth.holds(part.hash, it));
         }
     }
 
     /// Ranks anew the upstreams that a request may go to after one failed: some may
     /// have come to leave since it came. It stays in the pool where it began.
-    pub(crate) fn rank_again(&mut self, id: u64, now: Millis) {
+    pub(crate) fn rerank(&mut self, id: u64, now: Millis) {
         let Some(pool) = self.requests.get(&id).map(|it| it.pool.clone()) else { return };
-        let anew = self.settings.path.ranks_again();
+        let anew = self.settings.path.reranks_on_retry();
         if anew {
             self.rank(id, now);
         }
@@ -75,11 +75,11 @@
 
     /// Whether the intents in force let a request go to a listed upstream that
     /// its candidates may not name.
-    pub(crate) fn may_go(&self, id: u64, upstream: &str) -> bool {
+    pub(crate) fn is_allowed(&self, id: u64, upstream: &str) -> bool {
         let (Some(plan), Some(request)) = (&self.plan, self.requests.get(&id)) else {
             return false;
         };
-        let ask = &request.ask;
+        let ask = &request.arrival;
         let Ok(target) = ask.target(plan) else {
             return false;
         };
@@ -97,9 +97,9 @@
 
     /// The view on the pool of an intent's upstreams.
     pub(crate) fn outlook(&self, intent: &Intent, now: Millis) -> Outlook {
-        let mean = self.means.get(&asked_pool(intent)).copied().unwrap_or_default();
+        let mean = self.mean_loads.get(&asked_pool(intent)).copied().unwrap_or_default();
         #[expect(clippy::cast_precision_loss, reason = "fleets are small beside 2^53")]
-        let routers = self.routers as f64;
+        let routers = self.router_count as f64;
         let known = self.settings.mechanisms.loads && self.peers.are_known(now);
         let told = self.peers.are_told(now);
         let takes_part = self.takes_part(now);
@@ -111,7 +111,7 @@
 /// The pool that an intent names; empty if it names none.
 fn asked_pool(intent: &Intent) -> Arc<str> {
     let named = intent.upstreams.iter().find_map(|it| match it {
-        Selector::Equals { label, value } if &**label == POOL => Some(value.clone()),
+        Selector::Equals { label, value } if &**label == POOL_LABEL => Some(value.clone()),
         _ => None,
     });
     named.unwrap_or_default()
--- a/components/routing/src/state.rs
+++ b/components/routing/src/state.rs
@@ -15,11 +15,11 @@
 use crate::beliefs::loads::Peers;
 use crate::beliefs::warmth::Warmth;
 use crate::beliefs::word::Words;
-use crate::choosing::choice::{Index, Upstreams};
 use crate::recovery::quarantine::Quarantine;
 use crate::recovery::stopping::{Durations, Stop};
-use crate::requests::placing::Shorts;
+use crate::requests::permits::Saturation;
 use crate::requests::request::Request;
+use crate::selection::candidates::{Index, Upstreams};
 use crate::{Budget, Effect, Event, Settings, Upstream};
 
 /// Everything that a router knows.
@@ -31,17 +31,17 @@
     pub(crate) index: Index,
     pub(crate) requests: HashMap<u64, Request>,
     /// Retries after faults, for each pool of upstreams.
-    pub(crate) budgets: HashMap<Arc<str>, Budget>,
+    pub(crate) retry_budgets: HashMap<Arc<str>, Budget>,
     /// Hops after refusals over load, which did not run.
-    pub(crate) hops: Budget,
+    pub(crate) hop_budget: Budget,
     /// The mean load of each pool's upstreams, as answers tell it.
-    pub(crate) means: HashMap<Arc<str>, f64>,
+    pub(crate) mean_loads: HashMap<Arc<str>, f64>,
     /// What has passed through each pool.
     pub(crate) flows: BTreeMap<Arc<str>, Flow>,
     /// What is asked of each pool, and by whom.
     pub(crate) shares: Shares,
     /// Among how many routers the retry budget is divided.
-    pub(crate) routers: usize,
+    pub(crate) router_count: usize,
     /// The failure domains that are to take nothing.
     pub(crate) evacuated: BTreeSet<Arc<str>>,
     /// The routers that share what cold upstreams bear.
@@ -53,7 +53,7 @@
     /// Where parts of prompts are warm; kept for direct upstreams only.
     pub(crate) warmth: Warmth,
     /// When the configuration in force was last known to be the newest.
-    pub(crate) current: Option<Millis>,
+    pub(crate) confirmed_at: Option<Millis>,
     /// Under what work upstreams ended.
     pub(crate) quarantine: Quarantine,
     /// What upstreams have said of themselves.
@@ -61,10 +61,10 @@
     /// What other routers told of their own load.
     pub(crate) peers: Peers,
     /// The pools that are short of places.
-    pub(crate) shorts: Shorts,
+    pub(crate) saturation: Saturation,
     /// What has come to be believed of upstreams while an event was taken.
-    pub(crate) notices: Vec<Effect>,
-    pub(crate) random: ChaCha8Rng,
+    pub(crate) pending_effects: Vec<Effect>,
+    pub(crate) rng: ChaCha8Rng,
 }
 
 impl State {
@@ -78,24 +78,24 @@
             upstreams: Upstreams::new(),
             index: Index::default(),
             requests: HashMap::new(),
-            budgets: HashMap::new(),
-            hops,
-            means: HashMap::new(),
+            retry_budgets: HashMap::new(),
+            hop_budget: hops,
+            mean_loads: HashMap::new(),
             flows: BTreeMap::new(),
             shares,
-            routers: 1,
+            router_count: 1,
             evacuated: BTreeSet::new(),
             members: Members::default(),
             stop: None,
             durations: Durations::default(),
             warmth: Warmth::default(),
-            current: None,
+            confirmed_at: None,
             quarantine: Quarantine::default(),
             words: Words::default(),
             peers: Peers::default(),
-            shorts: Shorts::new(seed),
-            notices: Vec::new(),
-            random: ChaCha8Rng::seed_from_u64(seed),
+            saturation: Saturation::new(seed),
+            pending_effects: Vec::new(),
+            rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
@@ -123,20 +123,20 @@
     /// upstream is up, and the router is not stopping.
     pub fn is_ready(&self, now: Millis) -> bool {
         let up = self.upstreams.values().any(|upstream| upstream.is_up(now));
-        let up = up || self.settings.path.trusts_the_list();
-        let proved = self.is_proved(self.settings.ready_ms, now);
+        let up = up || self.settings.path.trusts_listing();
+        let proved = self.is_confirmed_within(self.settings.ready_ms, now);
         self.plan.is_some() && up && proved && self.stop.is_none()
     }
 
     /// Whether the configuration in force is proved to have been the newest in
     /// the last `within` milliseconds; zero asks for no proof.
-    pub fn is_proved(&self, within: u64, now: Millis) -> bool {
-        within == 0 || self.current.is_some_and(|at| at.until(now).0 <= within)
+    pub fn is_confirmed_within(&self, within: u64, now: Millis) -> bool {
+        within == 0 || self.confirmed_at.is_some_and(|at| at.until(now).0 <= within)
     }
 
     /// How long ago the configuration in force was known to be the newest.
-    pub fn proof_ms(&self, now: Millis) -> Option<u64> {
-        self.current.map(|at| at.until(now).0)
+    pub fn confirmation_age_ms(&self, now: Millis) -> Option<u64> {
+        self.confirmed_at.map(|at| at.until(now).0)
     }
 
     /// When a caller that is refused for `kind` is told to come back at the earliest,
@@ -155,44 +155,46 @@
     /// from `Drained`, `Share`, `Suspect`, `Revive`, `Leave`, `Rest`, `Check`, `Report`, `Clear`,
     /// `HoldBack`, `Release` and `RunsShort`.
     pub fn apply(&mut self, event: Event, now: Millis) -> Vec<Effect> {
-        let mut effects = self.take(event, now);
-        effects.append(&mut self.notices);
+        let mut effects = self.handle(event, now);
+        effects.append(&mut self.pending_effects);
         effects
     }
 
-    fn take(&mut self, event: Event, now: Millis) -> Vec<Effect> {
+    fn handle(&mut self, event: Event, now: Millis) -> Vec<Effect> {
         match event {
-            Event::Ask(ask) => self.ask(ask, now),
-            Event::Bound { id, owner } => self.bound(id, owner.as_ref(), now),
-            Event::Reply { id, attempt, reply } => self.reply(id, attempt, reply, now),
-            Event::Lost { id, attempt, sent } => self.lost(id, attempt, sent, now),
-            Event::Stalled { id, attempt } => self.stalled(id, attempt, now),
-            Event::Quit { id } => self.quit(id, now),
+            Event::Arrival(arrival) => self.handle_arrival(arrival, now),
+            Event::KeyBound { id, owner } => self.handle_key_bound(id, owner.as_ref(), now),
+            Event::Reply { id, attempt, reply } => self.handle_reply(id, attempt, reply, now),
+            Event::ConnectionFailed { id, attempt, sent } => {
+                self.handle_connection_failure(id, attempt, sent, now)
+            }
+            Event::Stalled { id, attempt } => self.handle_stall(id, attempt, now),
+            Event::Cancel { id } => self.cancel(id, now),
             Event::Expire { id } => self.expire(id, now),
             Event::Hosts(hosts) => self.hosts(hosts, now),
             Event::Tick => self.connects(now),
-            Event::Met(welcome) => self.met(&welcome, now),
+            Event::Connected(welcome) => self.met(&welcome, now),
             Event::Alive { upstream } => self.alive(&upstream),
-            Event::Missed { upstream } => self.missed(&upstream, now),
-            Event::Settings(settings) => self.set(*settings),
+            Event::Unreachable { upstream } => self.missed(&upstream, now),
+            Event::Settings(settings) => self.update_settings(*settings),
             Event::Configure(plan) => self.configure(plan, now),
-            Event::Current { at } => self.prove(at),
-            Event::Routers(count) => self.divide(count),
+            Event::ConfigurationConfirmed { at } => self.confirm_configuration(at),
+            Event::RouterCount(count) => self.divide(count),
             Event::Members { own, announced } => {
                 self.meet(own, announced, now);
                 Vec::new()
             }
             Event::Evacuated(domains) => self.evacuate(domains, now),
-            Event::Cold { upstream, left } => {
-                self.chill(&upstream, left, now);
+            Event::Cold { upstream, remaining } => {
+                self.chill(&upstream, remaining, now);
                 Vec::new()
             }
-            Event::Leaves { upstream } => {
+            Event::Leaving { upstream } => {
                 self.take_leave(&upstream, now);
                 Vec::new()
             }
-            Event::Rests { upstream, lasts } => {
-                self.take_rest(&upstream, lasts, now);
+            Event::Backoff { upstream, duration } => {
+                self.take_rest(&upstream, duration, now);
                 Vec::new()
             }
             Event::Load { upstream, requests, waiting } => {
@@ -206,29 +208,31 @@
                 self.hear_paces(&paces, now);
                 Vec::new()
             }
-            Event::Warm(warm) => self.warm(&warm, now),
+            Event::WarmPrefixes(warm) => self.receive_prefixes(&warm, now),
             Event::Loads(loads) => {
                 self.hear_loads(loads, now);
                 Vec::new()
             }
-            Event::Heard(heard) => {
-                self.hear_others(&heard, now);
+            Event::Observations(observations) => {
+                self.hear_others(&observations, now);
                 Vec::new()
             }
             Event::Outcomes(outcomes) => self.hear_outcomes(&outcomes, now),
-            Event::Delays(delays) => self.hear_delays(&delays, now),
-            Event::Demands(demands) => self.hear_demands(demands, now),
+            Event::Delays(delays) => self.receive_delays(&delays, now),
+            Event::Demands(demands) => self.receive_demands(demands, now),
             Event::Crashes(crashes) => {
                 self.learn_crashes(crashes, now);
                 Vec::new()
             }
             Event::Checked { upstream, check } => self.checked(&upstream, check, now),
-            Event::Waited { id } => self.waited(id, now),
-            Event::Granted { id, number, upstream } => self.granted(id, number, &upstream, now),
-            Event::Denied { id, number, after_ms } => self.denied(id, number, after_ms, now),
-            Event::Unanswered { id, number } => self.unanswered(id, number, now),
-            Event::Short { pool, lasts } => {
-                self.shorts.hear(&pool, lasts, now);
+            Event::WaitElapsed { id } => self.handle_wait_elapsed(id, now),
+            Event::Granted { id, number, upstream } => {
+                self.handle_granted(id, number, &upstream, now)
+            }
+            Event::Denied { id, number, after_ms } => self.handle_denied(id, number, after_ms, now),
+            Event::Unanswered { id, number } => self.handle_unanswered(id, number, now),
+            Event::Saturated { pool, duration } => {
+                self.saturation.record(&pool, duration, now);
                 Vec::new()
             }
             Event::Drain { until } => self.drain(until),
@@ -236,8 +240,8 @@
     }
 
     /// Requests under way keep what was decided on them.
-    fn set(&mut self, settings: Settings) -> Vec<Effect> {
-        self.shares.weigh(&settings.weights);
+    fn update_settings(&mut self, settings: Settings) -> Vec<Effect> {
+        self.shares.set_weights(&settings.weights);
         self.settings = settings;
         self.change_budgets();
         self.index.clear();
@@ -258,8 +262,8 @@
         Vec::new()
     }
 
-    fn prove(&mut self, at: Millis) -> Vec<Effect> {
-        self.current = self.current.max(Some(at));
+    fn confirm_configuration(&mut self, at: Millis) -> Vec<Effect> {
+        self.confirmed_at = self.confirmed_at.max(Some(at));
         Vec::new()
     }
 }
--- a/components/routing/tests/direct/admission.rs
+++ b/components/routing/tests/direct/admission.rs
@@ -68,12 +68,12 @@
     // Without anything waiting an answer takes longer than the objective.
     for id in 1..=20 {
         let now = NOW + Millis(id * 2_000);
-        state.apply(Event::Current { at: now }, now);
+        state.apply(Event::ConfigurationConfirmed { at: now }, now);
         assert!(sent(&state.apply(ask(id, "stream", "chat"), now)).is_some());
         let head = Head { attempt: 1, status: 200, headers: Vec::new() };
         let head = Event::Reply { id, attempt: 1, reply: Reply::Head(head) };
         state.apply(head, now + Millis(1_500));
-        state.apply(Event::Quit { id }, now + Millis(1_600));
+        state.apply(Event::Cancel { id }, now + Millis(1_600));
     }
 }
 
@@ -120,7 +120,7 @@
     let mut state = fleet();
     assert!(sent(&state.apply(ask(1, "stream", "chat"), NOW)).is_some());
     wait_at(&mut state, &ENGINES, 9);
-    let effects = state.apply(Event::Lost { id: 1, attempt: 1, sent: true }, NOW);
+    let effects = state.apply(Event::ConnectionFailed { id: 1, attempt: 1, sent: true }, NOW);
     assert!(sent(&effects).is_some(), "{effects:?}");
 }
 
@@ -129,7 +129,7 @@
     let mut state = fleet();
     assert!(sent(&state.apply(ask(1, "stream", "chat"), NOW)).is_some());
     wait_at(&mut state, &ENGINES, 9);
-    let effects = state.apply(Event::Lost { id: 1, attempt: 1, sent: false }, NOW);
+    let effects = state.apply(Event::ConnectionFailed { id: 1, attempt: 1, sent: false }, NOW);
     assert_eq!(failed(&effects), Some(Kind::WouldMiss));
 }
 
@@ -148,8 +148,8 @@
     let pool: Arc<str> = "engine".into();
     // Three were before the second request: the first one, and two of the other router.
     let told = Delay { pool, priority: URGENT, waited_ms: 300, queued: 3 };
-    assert_eq!(state.delays(), [told]);
-    assert_eq!(state.delays(), []);
+    assert_eq!(state.take_delays(), [told]);
+    assert_eq!(state.take_delays(), []);
 }
 
 #[test]
--- a/components/routing/tests/direct/cold.rs
+++ b/components/routing/tests/direct/cold.rs
@@ -30,16 +30,16 @@
 }
 
 fn cold(left: u64) -> Event {
-    Event::Cold { upstream: "engine-0".into(), left: Millis(left) }
+    Event::Cold { upstream: "engine-0".into(), remaining: Millis(left) }
 }
 
 /// How many of `most` requests that come at `now` a router sends.
 fn sends(state: &mut State, first: u64, most: u64, now: Millis) -> usize {
-    state.apply(Event::Current { at: now }, now);
+    state.apply(Event::ConfigurationConfirmed { at: now }, now);
     let mut count = 0;
     for id in first..first + most {
         count += usize::from(sent(&state.apply(ask(id, "stream", "chat"), now)).is_some());
-        state.apply(Event::Quit { id }, now);
+        state.apply(Event::Cancel { id }, now);
     }
     count
 }
@@ -73,12 +73,12 @@
     let mut state = fleet(0, 1);
     state.apply(engines(&["a", "a"]), NOW);
     state.apply(cold(3_000), SETTLED);
-    state.apply(Event::Cold { upstream: "engine-1".into(), left: Millis(3_000) }, SETTLED);
-    state.apply(Event::Current { at: SETTLED }, SETTLED);
+    state.apply(Event::Cold { upstream: "engine-1".into(), remaining: Millis(3_000) }, SETTLED);
+    state.apply(Event::ConfigurationConfirmed { at: SETTLED }, SETTLED);
     let mut to_first = 0;
     for id in 0..100 {
         let effects = state.apply(ask(id, "stream", &format!("chat-{id}")), SETTLED);
-        let again = state.apply(Event::Lost { id, attempt: 1, sent: true }, SETTLED);
+        let again = state.apply(Event::ConnectionFailed { id, attempt: 1, sent: true }, SETTLED);
         state.apply(Event::Alive { upstream: "engine-0".into() }, SETTLED);
         state.apply(Event::Alive { upstream: "engine-1".into() }, SETTLED);
         let places = [sent(&effects), sent(&again)];
@@ -96,7 +96,7 @@
 
     let mut cut = fleet(0, 1);
     cut.apply(cold(9_000), SETTLED);
-    cut.apply(Event::Current { at: NOW }, NOW);
+    cut.apply(Event::ConfigurationConfirmed { at: NOW }, NOW);
     assert_eq!(sent(&cut.apply(ask(1, "stream", "chat"), SETTLED)), None);
 }
 
@@ -132,7 +132,7 @@
 /// What happens to one of the routers, and how long after the last.
 #[derive(Clone, Copy, Debug)]
 enum Happening {
-    Ask(usize),
+    Arrival(usize),
     /// Another router starts; the others hear of it after so long.
     Start {
         heard: u64,
@@ -143,7 +143,7 @@
 
 fn happening() -> impl Strategy<Value = (u64, Happening)> {
     let happening = prop_oneof![
-        60 => (0_usize..40).prop_map(Happening::Ask),
+        60 => (0_usize..40).prop_map(Happening::Arrival),
         1 => (0_u64..3_400).prop_map(|heard| Happening::Start { heard }),
         1 => (0_usize..40).prop_map(Happening::Cut),
     ];
@@ -179,14 +179,14 @@
             }
             for (own, state) in states.iter_mut().enumerate() {
                 if !cut.contains(&own) {
-                    state.apply(Event::Current { at: now }, now);
+                    state.apply(Event::ConfigurationConfirmed { at: now }, now);
                 }
             }
             match happening {
-                Happening::Ask(own) => {
+                Happening::Arrival(own) => {
                     let own = own % states.len();
                     let effects = states[own].apply(ask(id, "stream", "chat"), now);
-                    states[own].apply(Event::Quit { id }, now);
+                    states[own].apply(Event::Cancel { id }, now);
                     sent_at.extend(sent(&effects).map(|_| now));
                 }
                 Happening::Start { heard } => {
--- a/components/routing/tests/direct/decisions.rs
+++ b/components/routing/tests/direct/decisions.rs
@@ -5,7 +5,7 @@
 use crate::fleet::{NOW, ask, asked, failed, recorded, refused, router, sent, settings};
 use clock::Millis;
 use errors::Kind;
-use routing::{Effect, Event, Mechanisms, Part, Reply, Settings, State};
+use routing::{Effect, Event, Mechanisms, Prefix, Reply, Settings, State};
 use wire::{Chunk, End, Head, Refused, Status};
 
 #[test]
@@ -31,7 +31,7 @@
         state
     };
     let held = |state: &mut State, start: u64, now: Millis| {
-        state.apply(Event::Current { at: now }, now);
+        state.apply(Event::ConfigurationConfirmed { at: now }, now);
         let mut places = (start..start + 100)
             .map(|id| sent(&state.apply(ask(id, "stream", "chat"), now)).unwrap());
         let first = places.next().unwrap();
@@ -47,7 +47,7 @@
 fn a_router_among_many_expects_others_to_send_where_it_sends() {
     let stayed = |routers: usize| {
         let mut state = router(settings());
-        state.apply(Event::Routers(routers), NOW);
+        state.apply(Event::RouterCount(routers), NOW);
         for number in 0..200 {
             let upstream: Arc<str> = format!("engine-{}", number % 4).into();
             state.apply(Event::Load { upstream, requests: 4, waiting: 0 }, NOW);
@@ -67,9 +67,9 @@
     assert!(sent(&state.apply(ask(1, "safe", "r-1"), NOW + Millis(3_000))).is_some());
     let late = state.apply(ask(2, "safe", "r-2"), NOW + Millis(3_001));
     assert_eq!(failed(&late), Some(Kind::StaleConfiguration));
-    state.apply(Event::Current { at: NOW + Millis(3_000) }, NOW + Millis(3_010));
+    state.apply(Event::ConfigurationConfirmed { at: NOW + Millis(3_000) }, NOW + Millis(3_010));
     // A proof that comes late does not make an older one count again.
-    state.apply(Event::Current { at: NOW }, NOW + Millis(3_020));
+    state.apply(Event::ConfigurationConfirmed { at: NOW }, NOW + Millis(3_020));
     assert!(sent(&state.apply(ask(3, "safe", "r-3"), NOW + Millis(6_000))).is_some());
 }
 
@@ -77,13 +77,13 @@
 fn what_may_have_run_is_told_as_such_whatever_comes_after() {
     let mut state = router(settings());
     state.apply(ask(1, "safe", "r-1"), NOW);
-    let again = state.apply(Event::Lost { id: 1, attempt: 1, sent: true }, NOW);
+    let again = state.apply(Event::ConnectionFailed { id: 1, attempt: 1, sent: true }, NOW);
     assert!(sent(&again).is_some());
     let end = state.apply(Event::Reply { id: 1, attempt: 2, reply: refused() }, NOW);
     assert_eq!(failed(&end), Some(Kind::LinkLost));
 
     state.apply(ask(2, "unsafe", "r-2"), NOW);
-    let end = state.apply(Event::Lost { id: 2, attempt: 1, sent: true }, NOW);
+    let end = state.apply(Event::ConnectionFailed { id: 2, attempt: 1, sent: true }, NOW);
     assert_eq!((sent(&end), failed(&end).map(|it| it.row().status)), (None, Some(502)));
 }
 
@@ -102,7 +102,7 @@
 #[test]
 fn the_retry_budget_is_divided_among_the_routers() {
     let mut state = router(Settings { retry_burst: 12.0, ..settings() });
-    state.apply(Event::Routers(4), NOW);
+    state.apply(Event::RouterCount(4), NOW);
     let again = |state: &mut State, id: u64| {
         state.apply(ask(id, "unsafe", &format!("c-{id}")), NOW);
         sent(&state.apply(Event::Reply { id, attempt: 1, reply: refused() }, NOW)).is_some()
@@ -111,7 +111,7 @@
     // More routers take from what was saved up.
     let mut state = router(Settings { retry_burst: 12.0, ..settings() });
     assert!(again(&mut state, 100));
-    state.apply(Event::Routers(12), NOW);
+    state.apply(Event::RouterCount(12), NOW);
     assert_eq!((1..20).filter(|id| again(&mut state, *id)).count(), 1);
 }
 
@@ -157,10 +157,10 @@
     let mut state = router(settings());
     let upstream = sent(&state.apply(ask(1, "stream", "chat"), NOW)).expect("a place");
     let up = |state: &State| state.upstreams().any(|it| it.name() == &upstream && it.is_up(NOW));
-    state.apply(Event::Lost { id: 1, attempt: 1, sent: true }, NOW);
+    state.apply(Event::ConnectionFailed { id: 1, attempt: 1, sent: true }, NOW);
     assert!(up(&state));
     state.apply(ask(2, "stream", "chat"), NOW);
-    state.apply(Event::Lost { id: 2, attempt: 1, sent: true }, NOW);
+    state.apply(Event::ConnectionFailed { id: 2, attempt: 1, sent: true }, NOW);
     assert!(!up(&state));
 }
 
@@ -168,8 +168,9 @@
 fn an_upstream_that_was_never_reached_uses_up_no_attempt() {
     // The intent allows two upstreams, and no retry is left to spend.
     let mut state = router(Settings { retry_burst: 0.0, ..settings() });
-    let lose =
-        |state: &mut State, attempt| state.apply(Event::Lost { id: 1, attempt, sent: false }, NOW);
+    let lose = |state: &mut State, attempt| {
+        state.apply(Event::ConnectionFailed { id: 1, attempt, sent: false }, NOW)
+    };
     state.apply(ask(1, "stream", "chat"), NOW);
     assert!(sent(&lose(&mut state, 1)).is_some());
     assert!(sent(&lose(&mut state, 2)).is_some());
@@ -213,7 +214,7 @@
             }),
             NOW,
         );
-        let effects = state.apply(Event::Lost { id: 1, attempt: 1, sent: true }, NOW);
+        let effects = state.apply(Event::ConnectionFailed { id: 1, attempt: 1, sent: true }, NOW);
         let next = sent(&effects);
         assert!(next.is_none() || next == Some(last.clone()), "{next:?} is leaving");
         assert_eq!(next.is_none(), last == first);
@@ -225,7 +226,7 @@
     let mut state = router(Settings { retry_burst: 9.0, ..settings() });
     let first = sent(&state.apply(ask(1, "stream", "chat"), NOW)).expect("a place");
     state.apply(changed(|it| it.name == first), NOW);
-    let effects = state.apply(Event::Lost { id: 1, attempt: 1, sent: true }, NOW);
+    let effects = state.apply(Event::ConnectionFailed { id: 1, attempt: 1, sent: true }, NOW);
     // Nobody is left: the caller hears of it at once.
     assert_eq!(failed(&effects), Some(Kind::LinkLost));
 }
@@ -247,7 +248,7 @@
     let decision = recorded(&reply(&mut state, Reply::End(end), 112)).expect("a decision");
     assert_eq!(decision.answered, Some(NOW + Millis(70)));
     assert_eq!(decision.pause, Millis(30));
-    assert_eq!(decision.shared, Some(Part { hash: 12, tokens: 200 }));
+    assert_eq!(decision.shared, Some(Prefix { hash: 12, tokens: 200 }));
     assert_eq!((decision.tries[0].read, decision.tries[0].copied), (200, 0));
 }
 
--- a/components/routing/tests/direct/evacuation.rs
+++ b/components/routing/tests/direct/evacuation.rs
@@ -19,7 +19,7 @@
 fn places(state: &mut State, first: u64, now: Millis) -> Vec<String> {
     let mut send = |id: u64| {
         let place = sent(&state.apply(ask(id, "stream", &format!("chat-{id}")), now));
-        state.apply(Event::Quit { id }, now);
+        state.apply(Event::Cancel { id }, now);
         place.map_or_else(|| "nowhere".to_owned(), |it| it.to_string())
     };
     (first..first + 40).map(&mut send).collect()
@@ -62,7 +62,7 @@
         let chat = format!("chat-{id}");
         let first = sent(&state.apply(ask(id, "stream", &chat), NOW)).expect("a place");
         state.apply(evacuated(&["a"]), NOW);
-        let next = sent(&state.apply(Event::Lost { id, attempt: 1, sent: true }, NOW));
+        let next = sent(&state.apply(Event::ConnectionFailed { id, attempt: 1, sent: true }, NOW));
         let next = next.expect("another place");
         assert!(next.ends_with('2') || next.ends_with('3'), "{first}, then {next}");
     }
@@ -76,7 +76,7 @@
     assert!(matches!(waits[0], Effect::Wait(_)));
     let domain = if reads.ends_with('0') || reads.ends_with('1') { "a" } else { "b" };
     state.apply(evacuated(&[domain]), NOW);
-    let next = sent(&state.apply(Event::Waited { id: 2 }, NOW)).expect("a place");
+    let next = sent(&state.apply(Event::WaitElapsed { id: 2 }, NOW)).expect("a place");
     let left = if domain == "a" { ["engine-0", "engine-1"] } else { ["engine-2", "engine-3"] };
     assert!(!left.contains(&&*next), "{next} is in {domain}");
 }
@@ -94,7 +94,7 @@
             state.apply(evacuated(&["a"]), NOW);
             let effects = state.apply(asked(100, "stream", &chat, &[id, id + 1_000]), NOW);
             let warm = effects.iter().find_map(|it| match it {
-                Effect::Send(attempt) => attempt.warm.clone(),
+                Effect::Send(attempt) => attempt.copy_from.clone(),
                 _ => None,
             });
             assert_eq!(warm.as_deref(), Some("engine-0:1"));
--- a/components/routing/tests/direct/fleet.rs
+++ b/components/routing/tests/direct/fleet.rs
@@ -6,7 +6,7 @@
 use errors::Kind;
 use intents::{Document, Plan};
 use routing::{
-    Ask, Bound, Decision, Effect, Event, Host, Part, Path, Policy, Reply, Settings, State,
+    Arrival, Bound, Decision, Effect, Event, Host, Path, Policy, Prefix, Reply, Settings, State,
 };
 use serde_json::json;
 use wire::{Refused, Status};
@@ -102,7 +102,7 @@
 pub fn router(settings: Settings) -> State {
     let mut state = State::new(settings, 1);
     state.apply(Event::Configure(plan()), NOW);
-    state.apply(Event::Current { at: NOW }, NOW);
+    state.apply(Event::ConfigurationConfirmed { at: NOW }, NOW);
     let engines = (0..4).map(|it| host(&format!("engine-{it}"), "engine"));
     let plain = (0..2).map(|it| host(&format!("plain-{it}"), "plain"));
     state.apply(Event::Hosts(engines.chain(plain).collect()), NOW);
@@ -116,16 +116,16 @@
 
 /// The same, with a prompt whose parts others may share.
 pub fn asked(id: u64, kind: &str, chat: &str, shared: &[u64]) -> Event {
-    Event::Ask(Ask {
+    Event::Arrival(Arrival {
         id,
         request: format!("r-{id}").into(),
         workspace: "w".into(),
         kind: kind.into(),
         model: matches!(kind, "stream" | "bulk").then(|| "m".into()),
-        content: id,
+        fingerprint: id,
         chat: chat.into(),
-        shared: parts(shared),
-        once: None,
+        prefixes: parts(shared),
+        idempotency_key: None,
         weight: 1,
         deadline: None,
     })
@@ -133,13 +133,13 @@
 
 /// A stream with one part of `tokens` tokens that others may share.
 pub fn asked_long(id: u64, chat: &str, hash: u64, tokens: u64) -> Event {
-    let Event::Ask(ask) = asked(id, "stream", chat, &[]) else { unreachable!("it is asked") };
-    Event::Ask(Ask { shared: vec![Part { hash, tokens }], ..ask })
+    let Event::Arrival(ask) = asked(id, "stream", chat, &[]) else { unreachable!("it is asked") };
+    Event::Arrival(Arrival { prefixes: vec![Prefix { hash, tokens }], ..ask })
 }
 
 /// Parts of a hundred tokens each with these hashes.
-fn parts(hashes: &[u64]) -> Vec<Part> {
-    let part = |(hash, tokens): (&u64, u64)| Part { hash: *hash, tokens: 100 * tokens };
+fn parts(hashes: &[u64]) -> Vec<Prefix> {
+    let part = |(hash, tokens): (&u64, u64)| Prefix { hash: *hash, tokens: 100 * tokens };
     hashes.iter().zip(1..).map(part).collect()
 }
 
@@ -154,7 +154,7 @@
 /// The kind of error that the effects end a request with.
 pub fn failed(effects: &[Effect]) -> Option<Kind> {
     effects.iter().find_map(|it| match it {
-        Effect::Fail(answer) | Effect::Cut(answer) => Some(answer.kind),
+        Effect::Fail(answer) | Effect::Abort(answer) => Some(answer.kind),
         _ => None,
     })
 }
--- a/components/routing/tests/direct/health.rs
+++ b/components/routing/tests/direct/health.rs
@@ -17,7 +17,7 @@
         let status = if id.is_multiple_of(2) && place == home { 500 } else { 200 };
         let head = Head { attempt: 1, status, headers: Vec::new() };
         state.apply(Event::Reply { id, attempt: 1, reply: Reply::Head(head) }, NOW);
-        state.apply(Event::Quit { id }, NOW);
+        state.apply(Event::Cancel { id }, NOW);
         place
     };
     (1..=count).map(one).collect()
@@ -31,7 +31,7 @@
 fn place(told: &[Outcome], now: Millis) -> Arc<str> {
     let mut state = router(settings());
     state.apply(Event::Outcomes(told.to_vec()), NOW);
-    state.apply(Event::Current { at: now }, now);
+    state.apply(Event::ConfigurationConfirmed { at: now }, now);
     sent(&state.apply(ask(1, "stream", "chat"), now)).expect("a place")
 }
 
@@ -41,7 +41,7 @@
     let places = fail_in_part(&mut state, 20);
     assert_ne!(places[0], places[19]);
     let next = state.apply(ask(21, "stream", "chat"), NOW);
-    let left = recorded(&state.apply(Event::Quit { id: 21 }, NOW)).expect("a decision");
+    let left = recorded(&state.apply(Event::Cancel { id: 21 }, NOW)).expect("a decision");
     assert_ne!(sent(&next), Some(places[0].clone()));
     let passed = left.passed.iter().find(|it| it.upstream == places[0]).expect("passed over");
     assert_eq!(passed.why, "fails more than its pool");
--- a/components/routing/tests/direct/innocent.rs
+++ b/components/routing/tests/direct/innocent.rs
@@ -26,7 +26,7 @@
 /// The works that the effects clear, and the notices of events told by them.
 fn cleared(effects: &[Effect]) -> Vec<Crash> {
     let clearing = |it: &Effect| match it {
-        Effect::Clear(clearing) => Some(clearing.clone()),
+        Effect::ReportCleared(clearing) => Some(clearing.clone()),
         _ => None,
     };
     effects.iter().filter_map(clearing).collect()
@@ -42,7 +42,7 @@
 
 fn is_sent(state: &mut State) -> bool {
     let effects = state.apply(ask(WORK, "stream", "chat"), NOW);
-    state.apply(Event::Quit { id: WORK }, NOW);
+    state.apply(Event::Cancel { id: WORK }, NOW);
     assert!(sent(&effects).is_some() || failed(&effects) == Some(Kind::HeldBack), "{effects:?}");
     sent(&effects).is_some()
 }
@@ -88,7 +88,7 @@
     state.apply(ask(WORK, "unsafe", "chat"), NOW);
     let head = Head { attempt: 1, status: 200, headers: Vec::new() };
     state.apply(Event::Reply { id: WORK, attempt: 1, reply: Reply::Head(head) }, NOW);
-    let lost = state.apply(Event::Lost { id: WORK, attempt: 1, sent: true }, NOW);
+    let lost = state.apply(Event::ConnectionFailed { id: WORK, attempt: 1, sent: true }, NOW);
     assert!(recorded(&lost).is_some());
     assert_eq!(cleared(&lost), []);
     state.apply(ends(&["c"]), NOW);
@@ -99,11 +99,11 @@
 fn work_that_was_answered_elsewhere_meanwhile_is_not_blamed_for_the_end() {
     let mut state = fleet();
     let first = sent(&state.apply(ask(WORK, "stream", "chat"), NOW)).expect("a place");
-    let lost = state.apply(Event::Lost { id: WORK, attempt: 1, sent: true }, NOW);
+    let lost = state.apply(Event::ConnectionFailed { id: WORK, attempt: 1, sent: true }, NOW);
     assert!(sent(&lost).is_some_and(|it| it != first));
     answer(&mut state, WORK, 2, NOW);
     let ended = state.apply(Event::Checked { upstream: first, check: Check::Ended }, NOW);
-    assert!(!ended.iter().any(|it| matches!(it, Effect::Report(_))), "{ended:?}");
+    assert!(!ended.iter().any(|it| matches!(it, Effect::ReportCrashes(_))), "{ended:?}");
 }
 
 #[test]
@@ -120,8 +120,8 @@
 /// What routers tell each other of one event.
 fn told(effects: &[Effect]) -> Vec<Crash> {
     let word = |it: &Effect| match it {
-        Effect::Report(crashes) => crashes.clone(),
-        Effect::Clear(clearing) => vec![clearing.clone()],
+        Effect::ReportCrashes(crashes) => crashes.clone(),
+        Effect::ReportCleared(clearing) => vec![clearing.clone()],
         _ => Vec::new(),
     };
     effects.iter().flat_map(word).collect()
@@ -147,7 +147,7 @@
             let effects = state.apply(ask(content, "unsafe", &format!("c-{number}")), NOW);
             if sent(&effects).is_some() {
                 let effects = if ends || work == DEADLY {
-                    state.apply(Event::Lost { id: content, attempt: 1, sent: true }, NOW);
+                    state.apply(Event::ConnectionFailed { id: content, attempt: 1, sent: true }, NOW);
                     let upstream: Arc<str> = sent(&effects).expect("a place");
                     state.apply(Event::Checked { upstream, check: Check::Ended }, NOW)
                 } else {
@@ -172,7 +172,7 @@
             for content in &answered {
                 let effects = state.apply(ask(*content, "unsafe", "last"), NOW);
                 prop_assert!(failed(&effects) != Some(Kind::HeldBack), "work {content}");
-                state.apply(Event::Quit { id: *content }, NOW);
+                state.apply(Event::Cancel { id: *content }, NOW);
             }
         }
     }
--- a/components/routing/tests/direct/loads.rs
+++ b/components/routing/tests/direct/loads.rs
@@ -28,7 +28,7 @@
 }
 
 fn place(state: &mut State, id: u64, now: Millis) -> Arc<str> {
-    state.apply(Event::Current { at: now }, now);
+    state.apply(Event::ConfigurationConfirmed { at: now }, now);
     sent(&state.apply(ask(id, "stream", "chat"), now)).expect("a place")
 }
 
@@ -82,7 +82,7 @@
 fn what_answers_told_another_router_counts_by_its_age() {
     let told = |requests, age_ms| {
         let told = Told { upstream: first(), requests, waiting: 0, age_ms };
-        Event::Heard(Heard { current: true, upstreams: vec![told] })
+        Event::Observations(Heard { current: true, upstreams: vec![told] })
     };
     // The floor of the bound is four requests.
     let mut state = fleet();
@@ -110,7 +110,7 @@
         let mut state = fleet();
         let later = NOW + Millis(3_100);
         let heard = Heard { current, upstreams: Vec::new() };
-        state.apply(Event::Heard(heard), later);
+        state.apply(Event::Observations(heard), later);
         let effects = state.apply(ask(1, "safe", "r-1"), later);
         assert_eq!(failed(&effects), Some(Kind::StaleConfiguration));
         retry_after(&effects)
@@ -131,7 +131,7 @@
 fn upstreams_of_which_nobody_hears_do_not_raise_the_mean() {
     let bound = Bound { multiple: 2.0, floor: 4, margin: 0.0, extra: 0 };
     let mut state = router(Settings { bound, ..settings() });
-    state.apply(Event::Routers(10), NOW);
+    state.apply(Event::RouterCount(10), NOW);
     let first = first();
     let others = (0..4).map(|it| Arc::from(format!("engine-{it}"))).filter(|it| *it != first);
     let second: Arc<str> = others.into_iter().next().expect("an engine");
@@ -146,7 +146,7 @@
             age_ms: 0,
         };
         let upstreams = vec![told(&first), told(&second)];
-        state.apply(Event::Heard(Heard { current: true, upstreams }), at);
+        state.apply(Event::Observations(Heard { current: true, upstreams }), at);
     }
     assert_ne!(place(&mut state, 1, NOW + Millis(3_900)), first);
 }
--- a/components/routing/tests/direct/places.rs
+++ b/components/routing/tests/direct/places.rs
@@ -18,7 +18,7 @@
 fn short(count: usize) -> State {
     let mut state = router(settings());
     state.apply(plain(count), NOW);
-    state.apply(Event::Short { pool: "plain".into(), lasts: Millis(1_500) }, NOW);
+    state.apply(Event::Saturated { pool: "plain".into(), duration: Millis(1_500) }, NOW);
     state
 }
 
@@ -61,7 +61,7 @@
     let effects = state.apply(ask(1, "safe", "chat"), NOW);
     assert!(sent(&effects).is_some() && claimed(&effects).is_none());
     let effects = state.apply(Event::Reply { id: 1, attempt: 1, reply: refused() }, NOW);
-    assert!(effects.iter().any(|it| matches!(it, Effect::RunsShort { .. })), "{effects:?}");
+    assert!(effects.iter().any(|it| matches!(it, Effect::ReportSaturation { .. })), "{effects:?}");
     assert!(claimed(&effects).is_some(), "a further try takes a place like any other");
     let effects = state.apply(ask(2, "unsafe", "chat"), NOW);
     assert!(claimed(&effects).is_some());
@@ -93,7 +93,7 @@
         let mut state = router(settings);
         state.apply(hosts, NOW);
         event.map(|it| state.apply(it, NOW));
-        state.apply(Event::Short { pool: "plain".into(), lasts: Millis(1_500) }, NOW);
+        state.apply(Event::Saturated { pool: "plain".into(), duration: Millis(1_500) }, NOW);
         assert!(sent(&state.apply(ask(1, "safe", "chat"), NOW)).is_some());
     }
 }
@@ -112,9 +112,9 @@
 #[test]
 fn a_permit_is_given_back_however_its_request_ends() {
     let ends = [
-        (Event::Lost { id: 1, attempt: 1, sent: true }, Finish::Failed),
+        (Event::ConnectionFailed { id: 1, attempt: 1, sent: true }, Finish::Failed),
         (Event::Reply { id: 1, attempt: 1, reply: refused() }, Finish::Full),
-        (Event::Quit { id: 1 }, Finish::Unused),
+        (Event::Cancel { id: 1 }, Finish::Unused),
         (Event::Expire { id: 1 }, Finish::Unused),
     ];
     for (event, end) in ends {
@@ -129,7 +129,7 @@
 fn a_caller_that_quits_while_its_request_waits_takes_back_the_ask() {
     let mut state = short(1);
     let number = claim(&mut state, 1, "unsafe");
-    let effects = state.apply(Event::Quit { id: 1 }, NOW);
+    let effects = state.apply(Event::Cancel { id: 1 }, NOW);
     assert_eq!(released(&effects), Some((number, Finish::Unused)));
     assert_eq!(recorded(&effects).expect("a decision").outcome, Outcome::NotRun);
     assert!(sent(&state.apply(granted(1, number, "plain-0"), NOW)).is_none());
@@ -151,7 +151,7 @@
     let mut state = short(2);
     let number = claim(&mut state, 1, "safe");
     state.apply(granted(1, number, "plain-0"), NOW);
-    let effects = state.apply(Event::Lost { id: 1, attempt: 1, sent: true }, NOW);
+    let effects = state.apply(Event::ConnectionFailed { id: 1, attempt: 1, sent: true }, NOW);
     let claim = claimed(&effects).expect("a further try takes a place like any other");
     assert_eq!(claim.avoid, ["plain-0".into()]);
     let denied = Event::Denied { id: 1, number: claim.number, after_ms: 700 };
@@ -162,7 +162,7 @@
 fn a_grant_at_an_upstream_that_takes_nothing_is_given_back_and_another_one_asked_for() {
     let mut state = short(2);
     let number = claim(&mut state, 1, "safe");
-    state.apply(Event::Leaves { upstream: "plain-0".into() }, NOW);
+    state.apply(Event::Leaving { upstream: "plain-0".into() }, NOW);
     let effects = state.apply(granted(1, number, "plain-0"), NOW);
     assert_eq!(sent(&effects), None);
     assert_eq!(released(&effects), Some((number, Finish::Unused)));
--- a/components/routing/tests/direct/quarantine.rs
+++ b/components/routing/tests/direct/quarantine.rs
@@ -30,9 +30,9 @@
 
 /// Whether the work is sent if it comes now.
 fn is_sent(state: &mut State, now: Millis) -> bool {
-    state.apply(Event::Current { at: now }, now);
+    state.apply(Event::ConfigurationConfirmed { at: now }, now);
     let effects = state.apply(ask(WORK, "stream", "chat"), now);
-    state.apply(Event::Quit { id: WORK }, now);
+    state.apply(Event::Cancel { id: WORK }, now);
     assert!(sent(&effects).is_some() || failed(&effects) == Some(Kind::HeldBack), "{effects:?}");
     sent(&effects).is_some()
 }
@@ -40,7 +40,7 @@
 /// What the effects tell the other routers.
 fn reported(effects: &[Effect]) -> Vec<(u64, Arc<str>)> {
     let report = |it: &Effect| match it {
-        Effect::Report(crashes) => crashes.clone(),
+        Effect::ReportCrashes(crashes) => crashes.clone(),
         _ => Vec::new(),
     };
     let crashes = effects.iter().flat_map(report);
@@ -50,7 +50,7 @@
 /// Sends a request of which the connection ends; returns where it went.
 fn lose(state: &mut State, id: u64, kind: &str) -> (Arc<str>, Vec<Effect>) {
     let upstream = sent(&state.apply(ask(id, kind, "chat"), NOW)).expect("a place");
-    let effects = state.apply(Event::Lost { id, attempt: 1, sent: true }, NOW);
+    let effects = state.apply(Event::ConnectionFailed { id, attempt: 1, sent: true }, NOW);
     (upstream, effects)
 }
 
@@ -60,7 +60,7 @@
     state.apply(told(&["a", "b"]), NOW);
     assert!(is_sent(&mut state, NOW));
     let effects = state.apply(told(&["c"]), NOW);
-    assert!(matches!(effects[..], [Effect::HoldBack { content: WORK, lasts: LASTS }]));
+    assert!(matches!(effects[..], [Effect::Quarantine { fingerprint: WORK, duration: LASTS }]));
     assert!(!is_sent(&mut state, NOW));
     assert!(sent(&state.apply(ask(8, "stream", "chat"), NOW)).is_some());
 }
@@ -85,7 +85,9 @@
     for id in 1..4 {
         state.apply(ask(id, "stream", "chat"), NOW);
     }
-    let lost = |state: &mut State, id| state.apply(Event::Lost { id, attempt: 1, sent: true }, NOW);
+    let lost = |state: &mut State, id| {
+        state.apply(Event::ConnectionFailed { id, attempt: 1, sent: true }, NOW)
+    };
     assert_eq!([1, 2].map(|id| checks(&lost(&mut state, id))), [1, 0]);
     let upstream: Arc<str> = "engine-0".into();
     let ended = state.apply(Event::Checked { upstream, check: Check::Ended }, NOW);
@@ -133,7 +135,7 @@
     let first = sent(&state.apply(ask(WORK, "stream", "chat"), NOW));
     assert!(first.is_some());
     state.apply(told(&["a", "b", "c"]), NOW);
-    let effects = state.apply(Event::Lost { id: WORK, attempt: 1, sent: true }, NOW);
+    let effects = state.apply(Event::ConnectionFailed { id: WORK, attempt: 1, sent: true }, NOW);
     assert_eq!((sent(&effects), failed(&effects)), (None, Some(Kind::LinkLost)));
 }
 
@@ -142,7 +144,7 @@
     let mut state = fleet();
     state.apply(told(&["a", "b", "c"]), NOW);
     let later = NOW + Millis(200_000);
-    state.apply(Event::Current { at: later }, later);
+    state.apply(Event::ConfigurationConfirmed { at: later }, later);
     let effects = state.apply(ask(WORK, "stream", "chat"), later);
     assert_eq!(retry_after(&effects), Some(400_000));
     assert!(!is_sent(&mut state, NOW + Millis(LASTS.0 - 1)));
@@ -189,12 +191,12 @@
                 continue;
             };
             prop_assert!(known[router].len() < 3, "sent after {:?}", known[router]);
-            state.apply(Event::Lost { id: WORK, attempt: 1, sent: true }, NOW);
-            state.apply(Event::Quit { id: WORK }, NOW);
+            state.apply(Event::ConnectionFailed { id: WORK, attempt: 1, sent: true }, NOW);
+            state.apply(Event::Cancel { id: WORK }, NOW);
             let check = if ends { Check::Ended } else { Check::Stands };
             let told = state.apply(Event::Checked { upstream, check }, NOW);
             for effect in told {
-                if let Effect::Report(crashes) = effect {
+                if let Effect::ReportCrashes(crashes) = effect {
                     known[router].extend(crashes.iter().map(|it| it.upstream.clone()));
                     log.extend(crashes);
                 }
--- a/components/routing/tests/direct/refusals.rs
+++ b/components/routing/tests/direct/refusals.rs
@@ -53,7 +53,7 @@
         let head = Head { attempt, status: 200, headers: Vec::new() };
         state.apply(Event::Reply { id, attempt, reply: Reply::Head(head) }, now);
     }
-    state.apply(Event::Quit { id }, now);
+    state.apply(Event::Cancel { id }, now);
 }
 
 fn first_two(upstream: &str) -> bool {
--- a/components/routing/tests/direct/rooms.rs
+++ b/components/routing/tests/direct/rooms.rs
@@ -24,7 +24,7 @@
     let mut state = router(Settings { bound, current_ms: 0, mechanisms, ..settings() });
     state.apply(engines(&DOMAINS), NOW);
     state.apply(members(own, ROUTERS), NOW);
-    state.apply(Event::Routers(ROUTERS), NOW);
+    state.apply(Event::RouterCount(ROUTERS), NOW);
     state
 }
 
@@ -36,7 +36,7 @@
         waiting: 0,
         age_ms: 0,
     };
-    Event::Heard(Heard { current: true, upstreams: loads.iter().map(told).collect() })
+    Event::Observations(Heard { current: true, upstreams: loads.iter().map(told).collect() })
 }
 
 /// Loads of the engines that take something.
@@ -51,7 +51,7 @@
     let now = SETTLED + Millis(1_000 * round);
     let mut loads = loads(10);
     for state in fleet.iter_mut() {
-        state.apply(Event::Current { at: now }, now);
+        state.apply(Event::ConfigurationConfirmed { at: now }, now);
         state.apply(heard(&loads), now);
     }
     let (mut over, mut refused, mut all) = (0, 0, 0);
@@ -75,7 +75,7 @@
         }
     }
     for (own, id) in ids {
-        fleet[own].apply(Event::Quit { id }, now + Millis(100));
+        fleet[own].apply(Event::Cancel { id }, now + Millis(100));
     }
     (over, refused, all)
 }
@@ -107,9 +107,9 @@
 #[test]
 fn one_router_alone_takes_all_the_room() {
     let mut state = fleet(0, Mechanisms::default());
-    state.apply(Event::Routers(1), NOW);
+    state.apply(Event::RouterCount(1), NOW);
     state.apply(evacuated(&["c"]), NOW);
-    state.apply(Event::Current { at: SETTLED }, SETTLED);
+    state.apply(Event::ConfigurationConfirmed { at: SETTLED }, SETTLED);
     state.apply(heard(&loads(10)), SETTLED);
     // The mean is 60 requests at nine engines: three more are within the bound of 13.
     let place = |id| sent(&state.apply(ask(id, "stream", "one"), SETTLED + Millis(1)));
@@ -122,7 +122,7 @@
     let places = |mechanisms| -> Vec<_> {
         let mut state = fleet(0, mechanisms);
         state.apply(evacuated(&["c"]), NOW);
-        state.apply(Event::Current { at: SETTLED }, SETTLED);
+        state.apply(Event::ConfigurationConfirmed { at: SETTLED }, SETTLED);
         state.apply(heard(&BTreeMap::new()), SETTLED);
         (0..40).map(|id| sent(&state.apply(ask(id, "stream", "one"), SETTLED))).collect()
     };
--- a/components/routing/tests/direct/shares.rs
+++ b/components/routing/tests/direct/shares.rs
@@ -6,7 +6,7 @@
 use errors::Kind;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use routing::{Ask, Event, Mechanisms, Rank, Reply, Settings, State};
+use routing::{Arrival, Event, Mechanisms, Rank, Reply, Settings, State};
 use wire::{Delay, Demands, End, Head, Load, Loads, Status};
 
 use crate::fleet::{NOW, ask, failed, recorded, retry_after, router, sent, settings};
@@ -40,8 +40,8 @@
 
 /// A workspace asks for a stream.
 fn asked(id: u64, workspace: &str) -> Event {
-    let Event::Ask(it) = ask(id, "stream", &format!("chat-{id}")) else { unreachable!() };
-    Event::Ask(Ask { workspace: workspace.into(), ..it })
+    let Event::Arrival(it) = ask(id, "stream", &format!("chat-{id}")) else { unreachable!() };
+    Event::Arrival(Arrival { workspace: workspace.into(), ..it })
 }
 
 /// Asks of a workspace that are answered, so that they leave no load behind.
@@ -156,7 +156,7 @@
 fn a_shortage_is_over_after_a_while() {
     let mut state = surge(on());
     let later = NOW + Millis(2_500);
-    state.apply(Event::Current { at: later }, later);
+    state.apply(Event::ConfigurationConfirmed { at: later }, later);
     assert_eq!(state.demands(&Arc::from("front-1"), later), []);
     let load = |it: &&str| Load { upstream: (*it).into(), requests: BUSY, waiting: BUSY };
     let upstreams = ENGINES.iter().map(load).collect();
@@ -207,7 +207,7 @@
 fn sent_of_a_hundred(state: &mut State, workspace: &str) -> usize {
     let one = |id: &u64| {
         let went = sent(&state.apply(asked(*id, workspace), NOW)).is_some();
-        state.apply(Event::Quit { id: *id }, NOW);
+        state.apply(Event::Cancel { id: *id }, NOW);
         went
     };
     (1..=100).filter(one).count()
@@ -254,7 +254,7 @@
     wait_at_all(&mut state, 0);
     assert!(sent(&state.apply(asked(1, "hot"), LATER)).is_some());
     wait_at_all(&mut state, BUSY);
-    let effects = state.apply(Event::Lost { id: 1, attempt: 1, sent: true }, LATER);
+    let effects = state.apply(Event::ConnectionFailed { id: 1, attempt: 1, sent: true }, LATER);
     assert!(sent(&effects).is_some(), "{effects:?}");
 }
 
--- a/components/routing/tests/direct/silence.rs
+++ b/components/routing/tests/direct/silence.rs
@@ -32,7 +32,7 @@
 
 /// Whether the request stays where it is; only kept connections are closed.
 fn stays(effects: &[Effect]) -> bool {
-    effects.iter().all(|it| matches!(it, Effect::Suspect { .. } | Effect::Forget { .. }))
+    effects.iter().all(|it| matches!(it, Effect::Suspect { .. } | Effect::CloseIdle { .. }))
 }
 
 fn is_up(state: &State, name: &str, now: Millis) -> bool {
@@ -106,7 +106,7 @@
     stall(&mut state, 1, 1, NOW + SILENCE);
     // Its back-off is over, which is at most 10 s.
     let later = NOW + Millis(11_000);
-    state.apply(Event::Current { at: later }, later);
+    state.apply(Event::ConfigurationConfirmed { at: later }, later);
     assert_eq!(sent(&state.apply(ask(2, "stream", "chat"), later)), Some(silent.clone()));
     assert_ne!(sent(&state.apply(ask(3, "stream", "chat"), later)), Some(silent.clone()));
     state.apply(Event::Reply { id: 2, attempt: 1, reply: head(1) }, later);
@@ -117,12 +117,12 @@
 fn after_a_silence_kept_connections_are_closed_once_and_the_next_is_new() {
     let fresh = |effects: &[Effect]| {
         effects.iter().find_map(|it| match it {
-            Effect::Send(attempt) => Some(attempt.fresh),
+            Effect::Send(attempt) => Some(attempt.new_connection),
             _ => None,
         })
     };
     let forgotten = |effects: &[Effect]| {
-        effects.iter().filter(|it| matches!(it, Effect::Forget { .. })).count()
+        effects.iter().filter(|it| matches!(it, Effect::CloseIdle { .. })).count()
     };
     let mut state = fleet();
     assert_eq!(fresh(&state.apply(ask(1, "safe", "chat"), NOW)), Some(false));
--- a/components/routing/tests/direct/stopping.rs
+++ b/components/routing/tests/direct/stopping.rs
@@ -34,7 +34,7 @@
 /// Asserts that a request of `kind` is taken as long as `room` is left, and not later.
 fn takes_until(room: Millis, kind: &str) {
     let mut state = stopping();
-    state.apply(Event::Current { at: UNTIL }, NOW);
+    state.apply(Event::ConfigurationConfirmed { at: UNTIL }, NOW);
     let last = Millis(UNTIL.0 - room.0);
     assert!(sent(&state.apply(ask(3, kind, "chat"), last)).is_some());
     let late = state.apply(ask(4, kind, "chat"), last + Millis(1));
@@ -59,11 +59,11 @@
 #[test]
 fn answers_of_a_short_time_say_nothing_of_long_ones() {
     let mut state = stopping();
-    state.apply(Event::Current { at: NOW + Millis(1_600) }, NOW + Millis(1_600));
+    state.apply(Event::ConfigurationConfirmed { at: NOW + Millis(1_600) }, NOW + Millis(1_600));
     let early = state.apply(ask(3, "stream", "chat"), NOW + Millis(1_600));
     assert_eq!(failed(&early), Some(Kind::Draining));
     // Twice the time that is left has been looked at.
-    state.apply(Event::Current { at: NOW + Millis(4_000) }, NOW + Millis(4_000));
+    state.apply(Event::ConfigurationConfirmed { at: NOW + Millis(4_000) }, NOW + Millis(4_000));
     assert!(sent(&state.apply(ask(4, "stream", "chat"), NOW + Millis(4_000))).is_some());
 }
 
@@ -80,6 +80,6 @@
 fn callers_are_sent_to_other_routers_at_once_if_there_are_any() {
     let mut state = stopping();
     assert_eq!(state.retry_after_ms(Kind::Draining, NOW), 250);
-    state.apply(Event::Heard(Heard { current: true, upstreams: Vec::new() }), NOW);
+    state.apply(Event::Observations(Heard { current: true, upstreams: Vec::new() }), NOW);
     assert_eq!(state.retry_after_ms(Kind::Draining, NOW), 50);
 }
--- a/components/routing/tests/direct/warmth.rs
+++ b/components/routing/tests/direct/warmth.rs
@@ -22,7 +22,7 @@
 /// What the effects tell the other routers.
 fn shared(effects: &[Effect]) -> Option<Warm> {
     effects.iter().find_map(|it| match it {
-        Effect::Share(warm) => Some(warm.clone()),
+        Effect::PublishPrefixes(warm) => Some(warm.clone()),
         _ => None,
     })
 }
@@ -34,7 +34,7 @@
 /// Where the prompt's cache is to be copied from.
 fn source(effects: &[Effect]) -> Option<Arc<str>> {
     effects.iter().find_map(|it| match it {
-        Effect::Send(attempt) => attempt.warm.clone(),
+        Effect::Send(attempt) => attempt.copy_from.clone(),
         _ => None,
     })
 }
@@ -56,9 +56,9 @@
     let mut state = router(settings());
     let upstream = sent(&ask(&mut state, 1, NOW));
     assert!(waits(&ask(&mut state, 2, NOW)));
-    assert!(waits(&state.apply(Event::Waited { id: 2 }, NOW + Millis(20))));
+    assert!(waits(&state.apply(Event::WaitElapsed { id: 2 }, NOW + Millis(20))));
     head(&mut state, 1, NOW + Millis(30));
-    let effects = state.apply(Event::Waited { id: 2 }, NOW + Millis(40));
+    let effects = state.apply(Event::WaitElapsed { id: 2 }, NOW + Millis(40));
     assert_eq!(sent(&effects), upstream);
 }
 
@@ -67,7 +67,7 @@
     let told = |stage| {
         let mut state = router(settings());
         let upstream = sent(&ask(&mut router(settings()), 1, NOW)).expect("a place");
-        state.apply(Event::Warm(Warm { upstream, parts: PARTS.to_vec(), stage }), NOW);
+        state.apply(Event::WarmPrefixes(Warm { upstream, parts: PARTS.to_vec(), stage }), NOW);
         waits(&ask(&mut state, 1, NOW))
     };
     assert!(told(Stage::Reading));
@@ -80,8 +80,8 @@
     let mut state = router(settings());
     ask(&mut state, 1, NOW);
     ask(&mut state, 2, NOW);
-    assert!(waits(&state.apply(Event::Waited { id: 2 }, NOW + Millis(199))));
-    assert!(sent(&state.apply(Event::Waited { id: 2 }, NOW + Millis(200))).is_some());
+    assert!(waits(&state.apply(Event::WaitElapsed { id: 2 }, NOW + Millis(199))));
+    assert!(sent(&state.apply(Event::WaitElapsed { id: 2 }, NOW + Millis(200))).is_some());
 }
 
 #[test]
@@ -89,9 +89,9 @@
     let mut state = router(settings());
     ask(&mut state, 1, NOW);
     ask(&mut state, 2, NOW);
-    state.apply(Event::Quit { id: 2 }, NOW);
+    state.apply(Event::Cancel { id: 2 }, NOW);
     assert_eq!(state.in_flight(), 1);
-    assert!(state.apply(Event::Waited { id: 2 }, NOW).is_empty());
+    assert!(state.apply(Event::WaitElapsed { id: 2 }, NOW).is_empty());
 }
 
 #[test]
@@ -105,7 +105,7 @@
         parts: PARTS.to_vec(),
         stage: Stage::Read,
     };
-    state.apply(Event::Warm(warm(&other)), NOW);
+    state.apply(Event::WarmPrefixes(warm(&other)), NOW);
     for id in 1..5 {
         let effects = ask(&mut state, id, NOW);
         assert_eq!((sent(&effects), source(&effects)), (Some(other.clone()), None));
@@ -116,7 +116,7 @@
     // It copies, so that nobody has to wait for it.
     assert_eq!(shared(&effects), None);
     // What is said of an upstream that the list does not hold is of no use.
-    state.apply(Event::Warm(warm(&"stranger".into())), NOW);
+    state.apply(Event::WarmPrefixes(warm(&"stranger".into())), NOW);
 }
 
 #[test]
@@ -125,7 +125,7 @@
     let home = sent(&ask(&mut state, 1, NOW)).expect("a place");
     head(&mut state, 1, NOW);
     // No connection to its home stands, so that its next request goes elsewhere.
-    state.apply(Event::Missed { upstream: home.clone() }, NOW);
+    state.apply(Event::Unreachable { upstream: home.clone() }, NOW);
     let effects = ask(&mut state, 2, NOW);
     assert_ne!(sent(&effects), Some(home));
     assert_eq!(source(&effects), None);
@@ -141,7 +141,7 @@
         head(&mut state, 1, NOW);
         for id in [2, 3] {
             state.apply(ask(id), NOW);
-            state.apply(Event::Lost { id, attempt: 1, sent: true }, NOW);
+            state.apply(Event::ConnectionFailed { id, attempt: 1, sent: true }, NOW);
         }
         let effects = state.apply(ask(4), NOW);
         assert_ne!(sent(&effects), Some(home));
@@ -156,7 +156,7 @@
         let mut state = router(settings());
         let upstream = sent(&ask(&mut router(settings()), 1, NOW)).expect("a place");
         let warm = Warm { upstream, parts: PARTS.to_vec(), stage: Stage::Reading };
-        state.apply(Event::Warm(warm), NOW);
+        state.apply(Event::WarmPrefixes(warm), NOW);
         waits(&ask(&mut state, 1, at))
     };
     assert!(begun(NOW + Millis(999)));
@@ -167,13 +167,17 @@
 fn what_is_remembered_is_bounded_and_the_latest() {
     let mut state = router(settings());
     let warm = |upstream: &str, part: u64| {
-        Event::Warm(Warm { upstream: upstream.into(), parts: vec![part], stage: Stage::Read })
+        Event::WarmPrefixes(Warm {
+            upstream: upstream.into(),
+            parts: vec![part],
+            stage: Stage::Read,
+        })
     };
     for part in 0..5_000 {
         state.apply(warm("engine-0", part), NOW);
         state.apply(warm("engine-1", part), NOW);
     }
-    let (changes, remembered) = state.warm_parts();
+    let (changes, remembered) = state.warm_prefixes();
     assert_eq!(changes, 10_000);
     let names: Vec<_> = remembered.iter().map(|it| (&*it.upstream, it.parts.len())).collect();
     assert_eq!(names, [("engine-0", 2_048), ("engine-1", 2_048)]);
@@ -190,7 +194,7 @@
     assert_eq!(source(&state.apply(long(2), NOW)), None);
     let other = if &*first == "engine-0" { "engine-1" } else { "engine-0" };
     let warm = Warm { upstream: other.into(), parts: vec![7], stage: Stage::Read };
-    state.apply(Event::Warm(warm), NOW);
+    state.apply(Event::WarmPrefixes(warm), NOW);
     // Only where so many run that memory may be short.
     state.apply(engines_with(16, &["a", "a"]), NOW);
     assert_eq!(source(&state.apply(long(3), NOW)), None);
@@ -200,7 +204,7 @@
     assert_ne!(source(&effects), sent(&effects).map(|it| format!("{it}:1").into()));
     // Not from one that has failed.
     for it in ["engine-0", "engine-1"] {
-        state.apply(Event::Missed { upstream: it.into() }, NOW);
+        state.apply(Event::Unreachable { upstream: it.into() }, NOW);
     }
     assert_eq!(source(&state.apply(long(5), NOW)), None);
 }
--- a/components/routing/tests/direct/words.rs
+++ b/components/routing/tests/direct/words.rs
@@ -13,11 +13,11 @@
 const REST: Millis = Millis(3_000);
 
 fn rests(upstream: &str, lasts: Millis) -> Event {
-    Event::Rests { upstream: upstream.into(), lasts }
+    Event::Backoff { upstream: upstream.into(), duration: lasts }
 }
 
 fn leaves(upstream: &str) -> Event {
-    Event::Leaves { upstream: upstream.into() }
+    Event::Leaving { upstream: upstream.into() }
 }
 
 /// How many of twenty chats are sent to `upstream` at `now`.
@@ -26,7 +26,7 @@
     for id in 1_000..1_020 {
         let place = sent(&state.apply(ask(id, "stream", &format!("chat-{id}")), now));
         count += usize::from(place.as_deref() == Some(upstream));
-        state.apply(Event::Quit { id }, now);
+        state.apply(Event::Cancel { id }, now);
     }
     count
 }
@@ -77,7 +77,7 @@
         state.apply(word, NOW);
         let next = state.apply(Event::Reply { id: 1, attempt: 1, reply: refused() }, NOW);
         assert_ne!(sent(&next).as_deref(), Some(upstream));
-        state.apply(Event::Quit { id: 1 }, NOW);
+        state.apply(Event::Cancel { id: 1 }, NOW);
     }
 }
 
@@ -89,7 +89,7 @@
     let waits = state.apply(asked(2), NOW);
     assert!(matches!(waits[..], [Effect::Wait(_)]), "{waits:?}");
     state.apply(rests("engine-0", REST), NOW);
-    let effects = state.apply(Event::Waited { id: 2 }, NOW + Millis(20));
+    let effects = state.apply(Event::WaitElapsed { id: 2 }, NOW + Millis(20));
     assert_eq!(failed(&effects), Some(Kind::NoUpstream));
 }
 
@@ -151,18 +151,18 @@
             let effects = match step {
                 0 => {
                     quiet[place] = quiet[place].max(now + Millis(ms));
-                    state.apply(Event::Rests { upstream, lasts: Millis(ms) }, now)
+                    state.apply(Event::Backoff { upstream, duration: Millis(ms) }, now)
                 }
                 1 if ms < 400 => {
                     quiet[place] = Millis(u64::MAX);
-                    state.apply(Event::Leaves { upstream }, now)
+                    state.apply(Event::Leaving { upstream }, now)
                 }
                 2 => {
                     now = now + Millis(ms / 4);
                     Vec::new()
                 }
                 3 => state.apply(engines(&vec!["d"; place + 1]), now),
-                4 => state.apply(Event::Lost { id: id.saturating_sub(1), attempt: 1, sent: true }, now),
+                4 => state.apply(Event::ConnectionFailed { id: id.saturating_sub(1), attempt: 1, sent: true }, now),
                 _ => state.apply(ask(id, "stream", &format!("chat-{ms}")), now),
             };
             if let Some(to) = sent(&effects) {
--- a/components/routing/tests/hints.rs
+++ b/components/routing/tests/hints.rs
@@ -6,7 +6,7 @@
 use clock::Millis;
 use errors::Kind;
 use intents::{Document, Plan};
-use routing::{Ask, Effect, Event, Host, Reply, Settings, State};
+use routing::{Arrival, Effect, Event, Host, Reply, Settings, State};
 use wire::{Refused, Status, Welcome};
 
 /// The time of every event.
@@ -41,22 +41,22 @@
     state.apply(Event::Hosts(hosts), NOW);
     for name in ["one", "two", "other"] {
         let status = Status { incarnation: 1, ..Status::default() };
-        state.apply(Event::Met(Welcome { name: name.into(), status }), NOW);
+        state.apply(Event::Connected(Welcome { name: name.into(), status }), NOW);
     }
     state
 }
 
 fn ask() -> Event {
-    Event::Ask(Ask {
+    Event::Arrival(Arrival {
         id: 1,
         request: "r".into(),
         workspace: "w".into(),
         kind: "chat".into(),
         model: Some("m".into()),
-        content: 1,
+        fingerprint: 1,
         chat: "c".into(),
-        once: None,
-        shared: Vec::new(),
+        idempotency_key: None,
+        prefixes: Vec::new(),
         weight: 1,
         deadline: None,
     })
