--- a/components/routing/tests/stateful.rs
+++ b/components/routing/tests/stateful.rs
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
-use routing::{Ask, Effect, Event, Host, Once, Owner, Reply, Settings, State};
+use routing::{Arrival, Effect, Event, Host, IdempotencyKey, Owner, Reply, Settings, State};
 use wire::{Admitted, Broken, Chunk, End, Head, Refused, Status, Welcome};
 
 /// The seed of the histories, so that every run is the same.
@@ -40,15 +40,15 @@
 /// What happens next; requests are named by how long ago they came.
 #[derive(Clone, Debug)]
 enum Step {
-    Ask { once: bool, keyed: bool, chat: u8 },
+    Arrival { once: bool, keyed: bool, chat: u8 },
     Bound { back: usize, found: bool },
     Act { back: usize, act: Act },
     Stale { back: usize, act: Act },
     Expire(usize),
-    Quit(usize),
+    Cancel(usize),
     Hosts { present: u8, leaving: u8 },
-    Met { upstream: usize, load: u64, newer: bool },
-    Missed(usize),
+    Connected { upstream: usize, load: u64, newer: bool },
+    Unreachable(usize),
     Configure(u64),
     Tick(u64),
     Drain,
@@ -90,18 +90,18 @@
         let recent = 0..state.asked.clamp(1, 3);
         prop_oneof![
             4 => (any::<bool>(), any::<bool>(), 0..8_u8)
-                .prop_map(|(once, keyed, chat)| Step::Ask { once, keyed, chat }),
+                .prop_map(|(once, keyed, chat)| Step::Arrival { once, keyed, chat }),
             3 => (recent.clone(), any::<bool>())
                 .prop_map(|(back, found)| Step::Bound { back, found }),
             40 => (recent.clone(), acts()).prop_map(|(back, act)| Step::Act { back, act }),
             2 => (recent.clone(), acts()).prop_map(|(back, act)| Step::Stale { back, act }),
             1 => recent.clone().prop_map(Step::Expire),
-            1 => recent.prop_map(Step::Quit),
+            1 => recent.prop_map(Step::Cancel),
             1 => (any::<u8>(), any::<u8>())
                 .prop_map(|(present, leaving)| Step::Hosts { present, leaving }),
             2 => (0..UPSTREAMS, 0..20_000_u64, any::<bool>())
-                .prop_map(|(upstream, load, newer)| Step::Met { upstream, load, newer }),
-            1 => (0..UPSTREAMS).prop_map(Step::Missed),
+                .prop_map(|(upstream, load, newer)| Step::Connected { upstream, load, newer }),
+            1 => (0..UPSTREAMS).prop_map(Step::Unreachable),
             1 => (0..5_u64).prop_map(Step::Configure),
             2 => (0..2_000_u64).prop_map(Step::Tick),
             1 => prop_oneof![19 => Just(Step::Tick(1)), 1 => Just(Step::Drain)],
@@ -110,7 +110,7 @@
     }
 
     fn apply(mut state: Self, step: &Step) -> Self {
-        if matches!(step, Step::Ask { .. }) {
+        if matches!(step, Step::Arrival { .. }) {
             state.asked += 1;
         }
         state
@@ -198,7 +198,7 @@
         let hosts = (0..UPSTREAMS).map(|place| host(place, false)).collect();
         this.state.apply(Event::Hosts(hosts), this.now);
         for upstream in 0..UPSTREAMS {
-            this.step(Step::Met { upstream, load: 0, newer: false });
+            this.step(Step::Connected { upstream, load: 0, newer: false });
         }
         this
     }
@@ -221,7 +221,7 @@
     #[expect(clippy::needless_pass_by_value, reason = "a step is used up")]
     fn step(&mut self, step: Step) {
         match step {
-            Step::Ask { once, keyed, chat } => self.ask(once, keyed, chat),
+            Step::Arrival { once, keyed, chat } => self.ask(once, keyed, chat),
             Step::Bound { back, found } => self.bound(back, found),
             Step::Act { back, act } => {
                 let id = self.named(back);
@@ -232,10 +232,10 @@
             }
             Step::Stale { back, act } => self.stale(back, act),
             Step::Expire(back) => self.event(self.named(back), |id| Event::Expire { id }),
-            Step::Quit(back) => {
+            Step::Cancel(back) => {
                 let id = self.named(back);
                 let open = self.requests.get(&id).is_some_and(|it| it.ended == 0);
-                self.event(id, |id| Event::Quit { id });
+                self.event(id, |id| Event::Cancel { id });
                 if open && let Some(record) = self.requests.get_mut(&id) {
                     record.ended += 1;
                 }
@@ -248,17 +248,17 @@
                     .collect();
                 self.state.apply(Event::Hosts(hosts), self.now);
             }
-            Step::Met { upstream, load, newer } => {
+            Step::Connected { upstream, load, newer } => {
                 self.lives[upstream] += u64::from(newer);
                 let welcome = Welcome {
                     name: format!("u{upstream}").into(),
                     status: Status { incarnation: self.lives[upstream], load, ..Status::default() },
                 };
-                self.state.apply(Event::Met(welcome), self.now);
+                self.state.apply(Event::Connected(welcome), self.now);
             }
-            Step::Missed(upstream) => {
+            Step::Unreachable(upstream) => {
                 let upstream = format!("u{upstream}").into();
-                self.state.apply(Event::Missed { upstream }, self.now);
+                self.state.apply(Event::Unreachable { upstream }, self.now);
             }
             Step::Configure(generation) => {
                 self.generation = self.generation.max(generation);
@@ -283,22 +283,22 @@
         self.next += 1;
         let id = self.next;
         let owner = Owner { upstream: format!("u{}", chat % 4).into(), incarnation: 1 };
-        let key = Once { key: format!("k{id}").into(), owner: keyed.then_some(owner) };
-        let ask = Ask {
+        let key = IdempotencyKey { key: format!("k{id}").into(), owner: keyed.then_some(owner) };
+        let ask = Arrival {
             id,
             request: format!("r{id}").into(),
             workspace: "w".into(),
             kind: if once { "pickup" } else { "chat" }.into(),
             model: (!once).then(|| "m".into()),
-            content: id,
+            fingerprint: id,
             chat: format!("c{chat}").into(),
-            once: once.then_some(key),
-            shared: Vec::new(),
+            idempotency_key: once.then_some(key),
+            prefixes: Vec::new(),
             weight: 100,
             deadline: None,
         };
         self.requests.insert(id, Record { once, ..Record::default() });
-        self.event(id, |_| Event::Ask(ask.clone()));
+        self.event(id, |_| Event::Arrival(ask.clone()));
     }
 
     fn bound(&mut self, back: usize, found: bool) {
@@ -310,7 +310,7 @@
             return;
         }
         let owner = found.then(|| Owner { upstream: "u1".into(), incarnation: 1 });
-        self.event(id, |id| Event::Bound { id, owner: owner.clone() });
+        self.event(id, |id| Event::KeyBound { id, owner: owner.clone() });
     }
 
     fn event(&mut self, id: u64, event: impl Fn(u64) -> Event) {
@@ -393,10 +393,10 @@
                     record.held = Some((attempt, false));
                     record.sent_chunks = 0;
                 }
-                Effect::Claim { .. } | Effect::Release { .. } | Effect::RunsShort { .. } => {
+                Effect::Claim { .. } | Effect::Release { .. } | Effect::ReportSaturation { .. } => {
                     panic!("sidecars have the last word: no place is asked for")
                 }
-                Effect::Bind { .. } => record.binding = true,
+                Effect::BindKey { .. } => record.binding = true,
                 Effect::Head(_) => {
                     assert!(!std::mem::replace(&mut record.head, true), "a second head");
                 }
@@ -410,7 +410,7 @@
                     record.ended += 1;
                     assert_eq!(record.relayed, record.sent_chunks, "request {id} is not whole");
                 }
-                Effect::Fail(answer) | Effect::Cut(answer) => {
+                Effect::Fail(answer) | Effect::Abort(answer) => {
                     record.ended += 1;
                     record.held = None;
                     if answer.outcome == Outcome::NotRun {
@@ -423,21 +423,21 @@
                 Effect::Record(decision) => {
                     self.seen_generations.insert(decision.generation);
                 }
-                Effect::Share(_) | Effect::Wait(_) => {
+                Effect::PublishPrefixes(_) | Effect::Wait(_) => {
                     panic!("request {id} shares no part of its prompt")
                 }
-                Effect::Note { .. }
+                Effect::UpdateDirectory { .. }
                 | Effect::Cancel
                 | Effect::Connect { .. }
                 | Effect::Suspect { .. }
-                | Effect::Forget { .. }
-                | Effect::Revive { .. }
-                | Effect::Leave { .. }
-                | Effect::Rest { .. }
+                | Effect::CloseIdle { .. }
+                | Effect::Recovered { .. }
+                | Effect::Leaving { .. }
+                | Effect::Backoff { .. }
                 | Effect::Check { .. }
-                | Effect::Report(_)
-                | Effect::Clear(_)
-                | Effect::HoldBack { .. }
+                | Effect::ReportCrashes(_)
+                | Effect::ReportCleared(_)
+                | Effect::Quarantine { .. }
                 | Effect::Drained => {}
             }
             assert!(record.ended <= 1, "request {id} got two final answers");
@@ -469,13 +469,13 @@
             status,
         }),
         Act::Break(kind) => Reply::Broken(Broken { attempt, kind }),
-        Act::Strange => Reply::Strange,
+        Act::Strange => Reply::Unexpected,
         Act::Stall { .. } => return Event::Stalled { id, attempt },
         Act::LinkLost { .. } => {
-            return Event::Lost { id, attempt, sent: true };
+            return Event::ConnectionFailed { id, attempt, sent: true };
         }
         Act::NeverSent => {
-            return Event::Lost { id, attempt, sent: false };
+            return Event::ConnectionFailed { id, attempt, sent: false };
         }
     };
     Event::Reply { id, attempt, reply }
