--- a/components/admission/src/event.rs
+++ b/components/admission/src/event.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use errors::Kind;
 use placement::Pool;
-use wire::{Frame, Note, Open, Report};
+use wire::{DirectoryUpdate, Frame, Open, Report};
 
 /// The sidecar's number for one attempt of a request.
 pub type CallId = u64;
@@ -68,7 +68,7 @@
         report: Report,
     },
     /// A chat was answered elsewhere.
-    DirectoryUpdate(Note),
+    DirectoryUpdate(DirectoryUpdate),
     /// The other members of the pool, as listed by the platform.
     Peers(Vec<Peer>),
     /// Time passed.
--- a/components/admission/src/state.rs
+++ b/components/admission/src/state.rs
@@ -6,7 +6,9 @@
 use clock::Millis;
 use errors::{Kind, Outcome};
 use placement::Pool;
-use wire::{Admitted, Broken, Chunk, End, Frame, Head, Note, Open, Refused, Report, Status};
+use wire::{
+    Admitted, Broken, Chunk, DirectoryUpdate, End, Frame, Head, Open, Refused, Report, Status,
+};
 
 use crate::call::{Answer, Call, Stage};
 use crate::directory::Directory;
@@ -127,7 +129,7 @@
             return self.refuse(id, Kind::KeyOwnerGone, Vec::new());
         }
         let hints = self.hints(&open);
-        if let Some(key) = &open.once {
+        if let Some(key) = &open.idempotency_key {
             match self.keys.register(key, digest(&open), &self.settings) {
                 Action::Run => {}
                 Action::Replay(answer) => return self.replay(id, open.attempt, &answer),
@@ -135,7 +137,7 @@
             }
         }
         if let Some(kind) = self.refusal(&open) {
-            if let Some(key) = &open.once {
+            if let Some(key) = &open.idempotency_key {
                 self.keys.release(key);
             }
             return self.refuse(id, kind, hints);
@@ -152,7 +154,7 @@
             weight: open.weight,
             started: now,
             deadline: now + Millis(open.remaining_ms),
-            key: open.once.clone(),
+            key: open.idempotency_key.clone(),
             stage: Stage::Queued(Box::new(open)),
             chunks: 0,
             bytes: 0,
@@ -195,7 +197,7 @@
     /// The other upstreams that have a chat's context, if this sidecar keeps the chat's directory
     /// entry.
     fn hints(&self, open: &Open) -> Vec<Arc<str>> {
-        if !open.home || open.once.is_some() {
+        if !open.is_home || open.idempotency_key.is_some() {
             return Vec::new();
         }
         self.directory.get(open.chat).to_vec()
@@ -395,7 +397,7 @@
         vec![Effect::Finish { call, frame }]
     }
 
-    fn update_directory(&mut self, note: Note) -> Vec<Effect> {
+    fn update_directory(&mut self, note: DirectoryUpdate) -> Vec<Effect> {
         self.directory.insert(note.chat, note.upstream, self.settings.chats);
         Vec::new()
     }
--- a/components/edge/src/dialect.rs
+++ b/components/edge/src/dialect.rs
@@ -17,7 +17,7 @@
 
 /// What the headers of a caller's request say.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Intake {
+pub struct Metadata {
     /// The id that the caller gave this attempt of its request.
     pub id: Option<Arc<str>>,
     /// The workspace key.
@@ -28,14 +28,14 @@
     pub model: Option<Arc<str>>,
     /// The parts of the prompt, in order; the last is of this request or chat
     /// alone.
-    pub prompt: Vec<Part>,
+    pub prefixes: Vec<Prefix>,
     /// The last event of the answer that the caller has already got.
     pub last_event: Option<u64>,
 }
 
 /// A part of a prompt that other requests may share.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct Prefix {
     /// Names the part's content.
     pub id: Arc<str>,
     /// Its length.
@@ -44,7 +44,7 @@
 
 /// One sending of a request to an upstream.
 #[derive(Clone, Debug)]
-pub struct Sending<'a> {
+pub struct Dispatch<'a> {
     /// The time left.
     pub remaining: Millis,
     /// The upstream that alone may run it.
@@ -54,7 +54,7 @@
     /// Lower runs earlier; `None` where the upstream has no order.
     pub priority: Option<i32>,
     /// The address of an upstream from which to copy the prompt's cache.
-    pub warm: Option<&'a str>,
+    pub copy_from: Option<&'a str>,
     /// The last event of the answer that was passed on, where another upstream
     /// is to go on with it.
     pub last_event: Option<u64>,
@@ -62,7 +62,7 @@
 
 /// What the headers of an upstream's answer say.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct Feedback {
     /// The id of the request that is answered.
     pub id: Option<Arc<str>>,
     /// Whether the upstream says that it did not run the request.
@@ -76,7 +76,7 @@
     /// Whether the upstream is leaving.
     pub leaving: bool,
     /// For how long the upstream asks to be sent nothing by the one that it answers.
-    pub rest: Option<Millis>,
+    pub backoff: Option<Millis>,
 }
 
 /// The load that an upstream tells, in requests.
@@ -94,15 +94,15 @@
 /// The headers that a platform's callers and upstreams speak.
 pub trait Dialect {
     /// Reads the headers of a caller's request.
-    fn read(&self, headers: &Headers) -> Intake;
+    fn parse_request(&self, headers: &Headers) -> Metadata;
 
     /// The headers that a request is sent on with: the caller's, without those
     /// that only the fleet may set, and the fleet's own.
-    fn forward(&self, headers: &Headers, sending: &Sending<'_>) -> Vec<Header>;
+    fn forward(&self, headers: &Headers, sending: &Dispatch<'_>) -> Vec<Header>;
 
     /// Reads the status and headers of an upstream's answer.
-    fn told(&self, status: u16, headers: &Headers) -> Told;
+    fn parse_response(&self, status: u16, headers: &Headers) -> Feedback;
 
     /// The headers of an answer that the fleet itself gives to request `id`.
-    fn own(&self, id: &str) -> Vec<Header>;
+    fn response_headers(&self, id: &str) -> Vec<Header>;
 }
--- a/components/edge/src/lib.rs
+++ b/components/edge/src/lib.rs
@@ -14,26 +14,26 @@
 
 use futures_util::future::LocalBoxFuture;
 
-pub use dialect::{Dialect, Header, Headers, Intake, Load, Part, Sending, Told, find};
-pub use store::{Announcement, Batch, Era, Fact, Fault, Lease, Reading, Revision, Store};
+pub use dialect::{Dialect, Dispatch, Feedback, Header, Headers, Load, Metadata, Prefix, find};
+pub use store::{Announcement, Batch, BatchFuture, Era, Error, Fact, Lease, Revision, Store};
 pub use wire::Peer;
 
 /// Makes the edges on the thread that serves.
-pub type Connect = Arc<dyn Fn() -> LocalBoxFuture<'static, Result<Edges, String>> + Send + Sync>;
+pub type Connect = Arc<dyn Fn() -> LocalBoxFuture<'static, Result<Adapter, String>> + Send + Sync>;
 
 /// The edges of one router.
 #[derive(Clone)]
-pub struct Edges {
+pub struct Adapter {
     /// The headers of callers and upstreams.
     pub dialect: Rc<dyn Dialect>,
     /// The key-value service.
     pub store: Rc<dyn Store>,
     /// The path at which the platform asks whether a router is ready.
-    pub ready: &'static str,
+    pub ready_path: &'static str,
 }
 
-impl std::fmt::Debug for Edges {
+impl std::fmt::Debug for Adapter {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.debug_struct("Edges").finish_non_exhaustive()
+        formatter.debug_struct("Adapter").finish_non_exhaustive()
     }
 }
--- a/components/edge/src/store.rs
+++ b/components/edge/src/store.rs
@@ -27,10 +27,10 @@
         cold: Millis,
     },
     /// An upstream's entry was removed.
-    Gone(Arc<str>),
+    UpstreamRemoved(Arc<str>),
     /// An upstream's entry was missing as the service answered again after an outage, in which
     /// entries lapse: it may come back.
-    Missing(Arc<str>),
+    UpstreamMissing(Arc<str>),
     /// An upstream's entry can't be read.
     UnreadableUpstream {
         /// The entry's name.
@@ -47,11 +47,11 @@
     /// A router of the fleet has announced itself.
     Router(Announcement),
     /// A router's announcement was removed or has lapsed.
-    RouterGone(Arc<str>),
+    RouterRemoved(Arc<str>),
     /// The upstreams that a router has remembered.
-    Remembered(Vec<Host>),
+    SavedHosts(Vec<Host>),
     /// What a router has remembered of warm parts of prompts, as it wrote it.
-    RememberedParts(Bytes),
+    SavedPrefixes(Bytes),
     /// Under what work upstreams ended, as a router told.
     Crashes {
         /// The router.
@@ -60,7 +60,7 @@
         crashes: Vec<Crash>,
     },
     /// What a router told of that is no longer kept.
-    CrashesGone(Arc<str>),
+    CrashesRemoved(Arc<str>),
     /// An entry that can't be read.
     Unreadable {
         /// Its key.
@@ -120,7 +120,7 @@
 
 /// Why the service told nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-pub enum Fault {
+pub enum Error {
     /// The changes since the revision that was asked for are no longer kept.
     #[snafu(display("the history is gone"))]
     HistoryGone,
@@ -136,7 +136,7 @@
 }
 
 /// A call under way.
-pub type Reading<'a> = LocalBoxFuture<'a, Result<Batch, Fault>>;
+pub type BatchFuture<'a> = LocalBoxFuture<'a, Result<Batch, Error>>;
 
 /// A lease of the service: what is written with it is removed with it. Where the service comes
 /// back from an older copy, its number may become another writer's.
@@ -152,51 +152,51 @@
 pub trait Store {
     /// All that concerns routers, as it is now. The pages of a long answer are
     /// not of one revision; the batch has the lowest.
-    fn read(&self) -> Reading<'_>;
+    fn read(&self) -> BatchFuture<'_>;
 
     /// What has changed after `revision`, as soon as there is something, or
     /// nothing after `wait`. The history of an earlier era is gone; one that is long is not read.
-    fn watch(&self, revision: Revision, wait: Millis) -> Reading<'_>;
+    fn watch(&self, revision: Revision, wait: Millis) -> BatchFuture<'_>;
 
     /// The same however long it is, without changes to the configuration that others have
     /// followed where these are many, and without routers whose announcements have ended.
-    fn watch_less(&self, revision: Revision, wait: Millis) -> Reading<'_>;
+    fn catch_up(&self, revision: Revision, wait: Millis) -> BatchFuture<'_>;
 
     /// The routers that announce themselves. Where it may be `old`, it may lack those of the
     /// last seconds, and costs the service little.
-    fn announced(&self, old: bool) -> LocalBoxFuture<'_, Result<Vec<Announcement>, Fault>>;
+    fn announcements(&self, old: bool) -> LocalBoxFuture<'_, Result<Vec<Announcement>, Error>>;
 
     /// Announces a router; it lasts until the lease ends.
     fn announce(
         &self,
         announcement: Announcement,
         lease: Lease,
-    ) -> LocalBoxFuture<'_, Result<(), Fault>>;
+    ) -> LocalBoxFuture<'_, Result<(), Error>>;
 
     /// Remembers upstreams for routers that start.
-    fn remember(&self, hosts: Vec<Host>) -> LocalBoxFuture<'_, Result<(), Fault>>;
+    fn save_hosts(&self, hosts: Vec<Host>) -> LocalBoxFuture<'_, Result<(), Error>>;
 
     /// Remembers warm parts of prompts for routers that start.
-    fn remember_parts(&self, parts: Bytes) -> LocalBoxFuture<'_, Result<(), Fault>>;
+    fn save_prefixes(&self, parts: Bytes) -> LocalBoxFuture<'_, Result<(), Error>>;
 
     /// A lease that lasts for `ttl` after its last renewal.
-    fn grant(&self, ttl: Millis) -> LocalBoxFuture<'_, Result<Lease, Fault>>;
+    fn grant_lease(&self, ttl: Millis) -> LocalBoxFuture<'_, Result<Lease, Error>>;
 
     /// Tells under what work upstreams ended, in place of what `router` told before; it is kept
     /// until the lease ends.
-    fn report(
+    fn report_crashes(
         &self,
         router: Arc<str>,
         crashes: Vec<Crash>,
         lease: Lease,
-    ) -> LocalBoxFuture<'_, Result<(), Fault>>;
+    ) -> LocalBoxFuture<'_, Result<(), Error>>;
 
     /// Renews a lease; `false` means that it is over, as all of an earlier era are.
-    fn renew(&self, lease: Lease) -> LocalBoxFuture<'_, Result<bool, Fault>>;
+    fn renew_lease(&self, lease: Lease) -> LocalBoxFuture<'_, Result<bool, Error>>;
 
     /// Takes the announcement of router `name` back. Its lease is left to lapse: by the time its
     /// number may be another writer's.
-    fn withdraw(&self, name: Arc<str>) -> LocalBoxFuture<'_, Result<(), Fault>>;
+    fn withdraw(&self, name: Arc<str>) -> LocalBoxFuture<'_, Result<(), Error>>;
 
     /// The latest era that an answer told of.
     fn era(&self) -> Era;
--- a/components/experiment/src/slopes.rs
+++ b/components/experiment/src/slopes.rs
@@ -123,7 +123,7 @@
     let started = Instant::now();
     for call in 0..keys as u64 {
         let once = Some(format!("courier/sk1.pickup-1.1a236c6ad5d.{call:032x}").into());
-        let open = Open { once, incarnation: 1, ..open(call) };
+        let open = Open { idempotency_key: once, incarnation: 1, ..open(call) };
         state.apply(admission::Event::Open { call, open }, Millis(1));
         let headers = Vec::new();
         state.apply(admission::Event::Head { call, status: 200, headers }, Millis(2));
@@ -254,12 +254,12 @@
         attempt: 1,
         workspace: format!("workspace-{}", call % 10).into(),
         chat: 0,
-        home: false,
+        is_home: false,
         priority: 0,
         remaining_ms: 60_000,
         weight: 1_000,
         incarnation: 0,
-        once: None,
+        idempotency_key: None,
         generation: 1,
         traceparent: None,
         method: "POST".into(),
--- a/components/experiment/src/world.rs
+++ b/components/experiment/src/world.rs
@@ -42,7 +42,7 @@
     Restart(usize),
     Return(usize),
     List,
-    Note { sidecar: usize, note: wire::Note },
+    Note { sidecar: usize, note: wire::DirectoryUpdate },
 }
 
 /// Where a call's frames go.
@@ -368,12 +368,12 @@
         attempt: attempt.number,
         workspace: "workspace-0".into(),
         chat: attempt.chat,
-        home: attempt.is_home,
+        is_home: attempt.is_home,
         priority: 0,
         remaining_ms: attempt.remaining.0,
         weight: attempt.weight,
         incarnation: 0,
-        once: None,
+        idempotency_key: None,
         generation: 1,
         traceparent: None,
         method: "POST".into(),
--- a/components/fleet/src/answers.rs
+++ b/components/fleet/src/answers.rs
@@ -21,11 +21,11 @@
 
 /// The answers that were given lately.
 #[derive(Debug, Default)]
-pub struct Answers {
+pub struct AnswerCache {
     kept: Vec<Answer>,
 }
 
-impl Answers {
+impl AnswerCache {
     /// What those get that know `after`, or nothing, from a router that has come to `revision`.
     pub fn get(
         &mut self,
@@ -38,8 +38,14 @@
         Some(answer.facts.clone())
     }
 
-    /// Keeps an answer; see [`Answers::get`].
-    pub fn keep(&mut self, after: Option<Revision>, revision: Revision, facts: Bytes, now: Millis) {
+    /// Keeps an answer; see [`AnswerCache::get`].
+    pub fn insert(
+        &mut self,
+        after: Option<Revision>,
+        revision: Revision,
+        facts: Bytes,
+        now: Millis,
+    ) {
         self.kept.retain(|it| it.revision == revision && it.at.until(now) < LASTS);
         if self.kept.len() >= MOST {
             self.kept.remove(0);
--- a/components/fleet/src/freshness.rs
+++ b/components/fleet/src/freshness.rs
@@ -4,7 +4,7 @@
 
 /// How long an answer of another router may take to begin beyond its wait for news: one that says
 /// nothing is left while the proof that it told last still counts.
-pub const SILENCE: Millis = Millis(400);
+pub const ANSWER_TIMEOUT: Millis = Millis(400);
 
 /// How long a router waits for news that is asked as a proof is old: long enough for one that is
 /// about to have some.
@@ -30,7 +30,7 @@
 /// one asked, before that is too old:
 ///
 /// ```text
-/// age of the proof when it was asked + wait for news + SILENCE + ANSWER <= lasts
+/// age of the proof when it was asked + wait for news + ANSWER_TIMEOUT + ANSWER <= lasts
 /// ```
 ///
 /// and one whose own proof is old is left at `lasts - ANSWER`.
@@ -46,7 +46,7 @@
     }
 
     /// Whether others are to be asked by who has a proof of this age, or none.
-    pub fn is_old(self, proof: Option<Millis>) -> bool {
+    pub fn is_stale(self, proof: Option<Millis>) -> bool {
         let oldest = (self.lasts - ANSWER).clamp(LOOKS, OLD_PROOF);
         proof.is_none_or(|it| it >= oldest)
     }
@@ -54,8 +54,8 @@
     /// How long the answer to a question may wait for news that is asked with a proof of this
     /// age, or none; `left` is the time until something is due in any case.
     pub fn wait(self, proof: Option<Millis>, left: Option<Millis>) -> Millis {
-        let age = proof.filter(|it| !self.is_old(Some(*it)));
-        let wait = age.map_or(ANSWER, |it| self.lasts - ANSWER - SILENCE - it);
+        let age = proof.filter(|it| !self.is_stale(Some(*it)));
+        let wait = age.map_or(ANSWER, |it| self.lasts - ANSWER - ANSWER_TIMEOUT - it);
         let wait = wait.clamp(ANSWER, NEWS_WAIT);
         left.map_or(wait, |it| it.min(wait))
     }
@@ -63,7 +63,7 @@
     /// Since when entries have had time to come back that are missing at `now` after looks have
     /// failed. Where the proof from before is so new that it still counts, the store has not been
     /// away for long, and what is missing is rather gone: it is let go of sooner.
-    pub fn returned(self, proof: Option<Millis>, now: Millis) -> Millis {
+    pub fn grace_start(self, proof: Option<Millis>, now: Millis) -> Millis {
         let counts = proof.filter(|it| *it < self.lasts);
         counts.map_or(now, |it| now - it.min(SOONER))
     }
--- a/components/fleet/src/spread.rs
+++ b/components/fleet/src/gossip.rs
@@ -31,9 +31,9 @@
     /// From the router that this one hears from.
     Source,
     /// From a follower that this router, a follower too, does not hear from.
-    Follower,
+    Poller,
     /// From a router that hears from this one.
-    Hearer(Arc<str>),
+    Subscriber(Arc<str>),
 }
 
 /// The routers that this one exchanges hints with.
@@ -42,9 +42,9 @@
     /// The one that it hears from.
     pub source: Option<Peer>,
     /// Those that hear from it.
-    pub hearers: Vec<Peer>,
+    pub subscribers: Vec<Peer>,
     /// The other followers, where it is one.
-    pub followers: Vec<Peer>,
+    pub pollers: Vec<Peer>,
 }
 
 impl Neighbours {
@@ -53,8 +53,8 @@
         if self.source.as_ref().is_some_and(|it| &*it.name == name) {
             return Origin::Source;
         }
-        let hearer = self.hearers.iter().find(|it| &*it.name == name);
-        hearer.map_or(Origin::Follower, |it| Origin::Hearer(it.name.clone()))
+        let hearer = self.subscribers.iter().find(|it| &*it.name == name);
+        hearer.map_or(Origin::Poller, |it| Origin::Subscriber(it.name.clone()))
     }
 }
 
@@ -77,11 +77,11 @@
 
 /// The hints that wait to be sent.
 #[derive(Debug, Default)]
-pub struct Spread {
+pub struct Gossip {
     waiting: VecDeque<Hint>,
 }
 
-impl Spread {
+impl Gossip {
     /// Takes a hint to be sent, which `hops` routers have passed on.
     pub fn push(&mut self, origin: Origin, frame: Frame, hops: u32, now: Millis) {
         if hops > MOST_HOPS {
@@ -102,13 +102,13 @@
     pub fn flush(&mut self, neighbours: &Neighbours, now: Millis) -> Vec<(Peer, Bytes)> {
         let written: Vec<_> = self.waiting.drain(..).filter_map(|it| write(it, now)).collect();
         let mut datagrams = Vec::new();
-        let goes_up = |it: &&Written| matches!(it.origin, Origin::Own | Origin::Hearer(_));
-        for peer in neighbours.source.iter().chain(&neighbours.followers) {
+        let goes_up = |it: &&Written| matches!(it.origin, Origin::Own | Origin::Subscriber(_));
+        for peer in neighbours.source.iter().chain(&neighbours.pollers) {
             pack(peer, written.iter().filter(goes_up), &mut datagrams);
         }
         let source = neighbours.source.as_ref().map(|it| &it.name);
-        for peer in neighbours.hearers.iter().filter(|it| Some(&it.name) != source) {
-            let own = Origin::Hearer(peer.name.clone());
+        for peer in neighbours.subscribers.iter().filter(|it| Some(&it.name) != source) {
+            let own = Origin::Subscriber(peer.name.clone());
             pack(peer, written.iter().filter(|it| it.origin != own), &mut datagrams);
         }
         datagrams
@@ -117,7 +117,7 @@
 
 /// Writes a hint; one that can't be written is given up. Ages grow by the time that it waited.
 fn write(mut hint: Hint, now: Millis) -> Option<Written> {
-    if let Frame::Heard(heard) = &mut hint.frame {
+    if let Frame::Observations(heard) = &mut hint.frame {
         for told in &mut heard.upstreams {
             told.age_ms += hint.came.until(now).0;
         }
@@ -149,7 +149,7 @@
 
 /// A datagram whose hints are to be passed on.
 fn seal(peer: &Peer, hints: &[u8], hops: u32) -> Option<(Peer, Bytes)> {
-    let head = wire::encode(&Frame::PassOn(hops)).ok()?;
+    let head = wire::encode(&Frame::Forwarded(hops)).ok()?;
     let datagram = [&head[..], hints].concat();
     Some((peer.clone(), datagram.into()))
 }
--- a/components/fleet/src/hearers.rs
+++ b/components/fleet/src/hearers.rs
@@ -29,7 +29,7 @@
 
 /// The routers that hear from one, also by way of others.
 #[derive(Debug)]
-pub struct Hearers {
+pub struct Subscribers {
     own: Arc<str>,
     asking: BTreeMap<Arc<str>, Hearer>,
     /// When routers were referred to others.
@@ -39,7 +39,7 @@
     guests: BTreeMap<Arc<str>, (Peer, Millis)>,
 }
 
-impl Hearers {
+impl Subscribers {
     /// Nobody has asked the router `own` yet.
     pub fn new(own: Arc<str>) -> Self {
         Self { own, asking: BTreeMap::new(), referred: BTreeMap::new(), guests: BTreeMap::new() }
@@ -47,11 +47,11 @@
 
     /// Notes that the first of `routers` asks, with those that hear from it. Returns whether it is
     /// answered: one that was referred to others and comes back is, once.
-    pub fn meet(&mut self, mut routers: Vec<Peer>, now: Millis) -> bool {
+    pub fn register(&mut self, mut routers: Vec<Peer>, now: Millis) -> bool {
         let Some(asks) = routers.first().cloned() else { return false };
-        self.forget(now);
+        self.expire(now);
         if !self.asking.contains_key(&asks.name) && self.asking.len() >= MOST_HEARERS {
-            return self.meet_again(asks, now);
+            return self.register_referred(asks, now);
         }
         // Routers may hear from each other in a circle. What has come round is not taken again:
         // nobody would ever forget it.
@@ -62,7 +62,7 @@
     }
 
     /// Notes that a router asks that is to hear from others. Returns whether it is answered.
-    fn meet_again(&mut self, asks: Peer, now: Millis) -> bool {
+    fn register_referred(&mut self, asks: Peer, now: Millis) -> bool {
         let came_back = self.referred.remove(&asks.name).is_some();
         if came_back && self.guests.len() < MOST_HEARERS {
             self.guests.insert(asks.name.clone(), (asks, now));
@@ -75,7 +75,7 @@
     }
 
     /// Forgets those that no longer ask.
-    pub fn forget(&mut self, now: Millis) {
+    pub fn expire(&mut self, now: Millis) {
         self.asking.retain(|_, it| it.asked.until(now) < HEARS);
         self.referred.retain(|_, at| at.until(now) < REFERRED);
         self.guests.retain(|_, (_, at)| at.until(now) < HEARS);
--- a/components/fleet/src/home.rs
+++ b/components/fleet/src/home.rs
@@ -29,8 +29,8 @@
     /// Notes which routers of `own`'s domain follow the store at `now`.
     pub(crate) fn notice(&mut self, own: &Peer, roster: &Roster, now: Millis) {
         let here = |it: &&Peer| it.domain == own.domain;
-        self.since.retain(|name, _| roster.announces(name));
-        for follower in roster.followers().filter(here) {
+        self.since.retain(|name, _| roster.is_announced(name));
+        for follower in roster.pollers().filter(here) {
             self.since.entry(follower.name.clone()).or_insert(now);
         }
     }
@@ -58,7 +58,7 @@
         if peer.domain != own.domain {
             return 1;
         }
-        if roster.announces(&peer.name) && !self.may_go(own, &peer.name, now) {
+        if roster.is_announced(&peer.name) && !self.may_go(own, &peer.name, now) {
             return 2;
         }
         0
--- a/components/fleet/src/mirror.rs
+++ b/components/fleet/src/mirror.rs
@@ -66,7 +66,7 @@
     /// Takes what was learnt at `now`. `whole` says that it is all there is; `returns`, that the
     /// store answers again after an outage, so that what is missing may come back; `doubted`,
     /// that failure domains are not taken back because the store does not name them.
-    pub fn take(&mut self, batch: &Batch, whole: bool, returns: bool, doubted: bool, now: Millis) {
+    pub fn apply(&mut self, batch: &Batch, whole: bool, returns: bool, doubted: bool, now: Millis) {
         if self.position.is_none_or(|it| it.era != batch.revision.era) {
             *self = Self { forgotten: batch.revision.number, ..Self::default() };
         }
@@ -123,15 +123,15 @@
     }
 
     /// Whether it is known what has changed after `position`.
-    pub fn reaches(&self, position: Revision) -> bool {
+    pub fn covers(&self, position: Revision) -> bool {
         let Some(known) = self.position else { return false };
         known.era == position.era && (self.forgotten..=known.number).contains(&position.number)
     }
 
     /// What has changed after `position`, as of `now`; `None` where that is not known, so that
     /// everything is to be told.
-    pub fn since(&self, position: Revision, now: Millis) -> Option<Vec<Fact>> {
-        if !self.reaches(position) {
+    pub fn changes_since(&self, position: Revision, now: Millis) -> Option<Vec<Fact>> {
+        if !self.covers(position) {
             return None;
         }
         let is_new = |it: &&Entry| it.revision > position.number;
@@ -141,14 +141,14 @@
     }
 
     /// Whether anything that a running router wants has changed after `position`.
-    pub fn has_news(&self, position: Revision) -> bool {
+    pub fn has_changes_since(&self, position: Revision) -> bool {
         let is_new = |it: &Entry| it.revision > position.number;
         self.removed.values().any(is_new)
             || self.entries.iter().any(|(key, it)| is_new(it) && !is_for_starts(key))
     }
 
     /// How many facts and removals are kept.
-    pub fn kept(&self) -> (usize, usize) {
+    pub fn counts(&self) -> (usize, usize) {
         (self.entries.len(), self.removed.len())
     }
 
@@ -172,10 +172,10 @@
 /// What says that a whole list lacks what is kept under `key`.
 fn removal(key: &Key) -> Option<Fact> {
     match key {
-        Key::Upstream(entry) => Some(Fact::Gone(entry.clone())),
+        Key::Upstream(entry) => Some(Fact::UpstreamRemoved(entry.clone())),
         Key::Evacuated(domain) => Some(Fact::Restored(domain.clone())),
-        Key::Router(name) => Some(Fact::RouterGone(name.clone())),
-        Key::Crashes(name) => Some(Fact::CrashesGone(name.clone())),
+        Key::Router(name) => Some(Fact::RouterRemoved(name.clone())),
+        Key::Crashes(name) => Some(Fact::CrashesRemoved(name.clone())),
         // Nobody takes these back.
         Key::Configuration | Key::Remembered | Key::RememberedParts => None,
     }
@@ -184,11 +184,11 @@
 fn is_removal(fact: &Fact) -> bool {
     matches!(
         fact,
-        Fact::Gone(_)
-            | Fact::Missing(_)
+        Fact::UpstreamRemoved(_)
+            | Fact::UpstreamMissing(_)
             | Fact::Restored(_)
-            | Fact::RouterGone(_)
-            | Fact::CrashesGone(_)
+            | Fact::RouterRemoved(_)
+            | Fact::CrashesRemoved(_)
     )
 }
 
@@ -197,17 +197,17 @@
     match fact {
         Fact::Configuration(_) => Some(Key::Configuration),
         Fact::Upstream { host, .. } => Some(Key::Upstream(host.entry().clone())),
-        Fact::Gone(entry) | Fact::Missing(entry) | Fact::UnreadableUpstream { entry, .. } => {
-            Some(Key::Upstream(entry.clone()))
-        }
+        Fact::UpstreamRemoved(entry)
+        | Fact::UpstreamMissing(entry)
+        | Fact::UnreadableUpstream { entry, .. } => Some(Key::Upstream(entry.clone())),
         Fact::Evacuated(domain) | Fact::Restored(domain) => Some(Key::Evacuated(domain.clone())),
         Fact::Router(it) => Some(Key::Router(it.router.name.clone())),
-        Fact::RouterGone(name) => Some(Key::Router(name.clone())),
-        Fact::Crashes { router, .. } | Fact::CrashesGone(router) => {
+        Fact::RouterRemoved(name) => Some(Key::Router(name.clone())),
+        Fact::Crashes { router, .. } | Fact::CrashesRemoved(router) => {
             Some(Key::Crashes(router.clone()))
         }
-        Fact::Remembered(_) => Some(Key::Remembered),
-        Fact::RememberedParts(_) => Some(Key::RememberedParts),
+        Fact::SavedHosts(_) => Some(Key::Remembered),
+        Fact::SavedPrefixes(_) => Some(Key::RememberedParts),
         Fact::AllRestored | Fact::Unreadable { .. } => None,
     }
 }
@@ -215,7 +215,7 @@
 /// A fact as it is told to others: an entry that was missing after an outage may come back.
 fn told(fact: &Fact, returns: bool) -> Fact {
     match fact {
-        Fact::Gone(entry) if returns => Fact::Missing(entry.clone()),
+        Fact::UpstreamRemoved(entry) if returns => Fact::UpstreamMissing(entry.clone()),
         _ => fact.clone(),
     }
 }
--- a/components/fleet/src/roster.rs
+++ b/components/fleet/src/roster.rs
@@ -22,7 +22,7 @@
 
 impl Roster {
     /// Takes a router's announcement.
-    pub fn put(&mut self, announcement: Announcement) {
+    pub fn insert(&mut self, announcement: Announcement) {
         self.announced.insert(announcement.router.name.clone(), announcement);
     }
 
@@ -33,7 +33,7 @@
     }
 
     /// Takes a whole list: who is not in it no longer announces itself.
-    pub fn keep_only(&mut self, names: &BTreeSet<Arc<str>>) {
+    pub fn retain(&mut self, names: &BTreeSet<Arc<str>>) {
         let gone: Vec<_> =
             self.announced.keys().filter(|it| !names.contains(*it)).cloned().collect();
         for name in gone {
@@ -42,22 +42,22 @@
     }
 
     /// Whether a router announces itself.
-    pub fn announces(&self, name: &str) -> bool {
+    pub fn is_announced(&self, name: &str) -> bool {
         self.announced.contains_key(name)
     }
 
     /// Whether an announcement names a router.
-    pub fn names(&self, name: &str) -> bool {
+    pub fn is_listed(&self, name: &str) -> bool {
         self.announced.values().any(|it| it.all().any(|peer| &*peer.name == name))
     }
 
     /// The routers that announce themselves: those that follow the store.
-    pub fn followers(&self) -> impl Iterator<Item = &Peer> {
+    pub fn pollers(&self) -> impl Iterator<Item = &Peer> {
         self.announced.values().map(|it| &it.router)
     }
 
     /// Notes at `now` who is named, so that they are known for a while after nobody names them.
-    pub fn notice(&mut self, now: Millis) {
+    pub fn refresh(&mut self, now: Millis) {
         for announcement in self.announced.values() {
             for peer in announcement.all() {
                 self.named.insert(peer.name.clone(), (peer.clone(), now));
@@ -68,7 +68,7 @@
 
     /// All routers that are known at `now`.
     pub fn routers(&mut self, now: Millis) -> impl Iterator<Item = &Peer> {
-        self.notice(now);
+        self.refresh(now);
         self.named.values().map(|(it, _)| it)
     }
 
@@ -78,7 +78,7 @@
     }
 
     /// The most routers that any follower has counted.
-    pub fn most(&self) -> usize {
+    pub fn max_routers(&self) -> usize {
         self.announced.values().map(|it| it.most).max().unwrap_or_default()
     }
 }
--- a/components/fleet/src/sources.rs
+++ b/components/fleet/src/sources.rs
@@ -125,17 +125,17 @@
     }
 
     /// Takes the names of the routers that hear from this one.
-    pub fn hear(&mut self, hearers: BTreeSet<Arc<str>>) {
+    pub fn set_subscribers(&mut self, hearers: BTreeSet<Arc<str>>) {
         self.hearers = hearers;
     }
 
     /// Whether this router follows the store by itself.
-    pub fn follows(&self) -> bool {
+    pub fn is_poller(&self) -> bool {
         self.follows
     }
 
     /// Has this router follow the store from now on.
-    pub fn follow(&mut self) {
+    pub fn become_poller(&mut self) {
         self.follows = true;
         self.short = None;
         self.surplus = None;
@@ -143,8 +143,8 @@
 
     /// Decides whether this router follows the store, by who is known. Returns whether that has
     /// changed.
-    pub fn decide(&mut self, roster: &mut Roster, now: Millis) -> bool {
-        roster.notice(now);
+    pub fn update_role(&mut self, roster: &mut Roster, now: Millis) -> bool {
+        roster.refresh(now);
         let (followers, wanted) = (self.followers_here(roster, now), self.wanted(roster, now));
         let due = if self.follows {
             self.is_surplus(&followers, wanted, now)
@@ -164,14 +164,14 @@
         let elsewhere = |it: &Peer| {
             it.domain != self.own.domain && !it.domain.is_empty() && !self.is_failed(&it.name, now)
         };
-        if roster.followers().any(elsewhere) { 1 } else { FOLLOWERS }
+        if roster.pollers().any(elsewhere) { 1 } else { FOLLOWERS }
     }
 
     /// The other routers of this domain that follow the store, as far as this one can ask them.
     fn followers_here(&self, roster: &Roster, now: Millis) -> Vec<Peer> {
         let answers = |it: &&Peer| !self.is_failed(&it.name, now) && it.hints.is_some();
         let here = |it: &&Peer| it.domain == self.own.domain && it.name != self.own.name;
-        roster.followers().filter(here).filter(answers).cloned().collect()
+        roster.pollers().filter(here).filter(answers).cloned().collect()
     }
 
     /// Whether there have been too many followers for a while, of which this one is the last.
@@ -221,7 +221,7 @@
         let answers = |it: &Peer| {
             it.name != self.own.name && it.hints.is_some() && !self.is_failed(&it.name, now)
         };
-        roster.followers().any(answers)
+        roster.pollers().any(answers)
     }
 
     /// Where to look at `now`.
@@ -266,7 +266,7 @@
         };
         let draw = key(DRAW, &self.own.name);
         let drawn = |it: &Peer| score(draw, &it.name, 1.0);
-        let mut followers: Vec<_> = roster.followers().filter(may_be_asked).cloned().collect();
+        let mut followers: Vec<_> = roster.pollers().filter(may_be_asked).cloned().collect();
         followers.sort_by(|one, other| drawn(other).total_cmp(&drawn(one)));
         let mut candidates: Vec<_> = self.referrals.named().filter(may_be_asked).cloned().collect();
         candidates.extend(followers);
@@ -280,7 +280,8 @@
 
     /// The routers of this domain that are the first to follow where others are lost.
     fn successors(&self, roster: &Roster) -> Vec<Peer> {
-        let may_follow = |it: &&Peer| it.domain == self.own.domain && !roster.announces(&it.name);
+        let may_follow =
+            |it: &&Peer| it.domain == self.own.domain && !roster.is_announced(&it.name);
         let mut successors: Vec<_> = roster.known().filter(may_follow).cloned().collect();
         successors.sort_by_key(rank);
         successors.truncate(SUCCESSORS);
@@ -301,7 +302,7 @@
     }
 
     /// A router told something that is new enough.
-    pub fn served(&mut self, name: &str) {
+    pub fn record_success(&mut self, name: &str) {
         self.alone = None;
         self.home.hears(name);
         self.referrals.served();
@@ -311,13 +312,13 @@
 
     /// The store answered. A router that does not follow it has asked since nobody told it
     /// anything new, and follows from now on. Returns whether it has just begun to.
-    pub fn store_answered(&mut self, now: Millis) -> bool {
+    pub fn record_store_success(&mut self, now: Millis) -> bool {
         self.store_at = Millis::ZERO;
         self.alone = None;
         self.home.looks();
         let begins = !self.follows;
         if begins {
-            self.follow();
+            self.become_poller();
             self.stays_until = now + STAYS;
         }
         begins
@@ -325,7 +326,7 @@
 
     /// The store did not answer; it may be asked again after `pause`. A router that does not
     /// follow it waits until the others of its domain have asked in their turn.
-    pub fn store_failed(&mut self, pause: Millis, roster: &mut Roster, now: Millis) {
+    pub fn record_store_failure(&mut self, pause: Millis, roster: &mut Roster, now: Millis) {
         let here = |it: &Peer| it.domain == self.own.domain;
         let domain = roster.routers(now).filter(|it| here(it)).count();
         let turns = if self.follows { Millis::ZERO } else { Millis(PROBE.0 * domain as u64) };
@@ -333,14 +334,14 @@
     }
 
     /// A router did not answer.
-    pub fn failed(&mut self, name: &Arc<str>, now: Millis) {
+    pub fn record_failure(&mut self, name: &Arc<str>, now: Millis) {
         self.failed.insert(name.clone(), now);
         self.home.leaves(name);
         self.referrals.leave(name, now);
     }
 
     /// A router answered, but what it knows is old.
-    pub fn stale(&mut self, name: &Arc<str>, now: Millis) {
+    pub fn record_stale(&mut self, name: &Arc<str>, now: Millis) {
         self.failed.remove(name);
         self.stale.insert(name.clone(), now);
         self.home.leaves(name);
@@ -349,7 +350,7 @@
 
     /// A router can't tell, and names `others` that may be asked. Where it names none it has just
     /// started, and soon can.
-    pub fn refer(&mut self, name: &Arc<str>, mut others: Vec<Peer>, now: Millis) {
+    pub fn record_referral(&mut self, name: &Arc<str>, mut others: Vec<Peer>, now: Millis) {
         self.failed.remove(name);
         self.home.leaves(name);
         if others.is_empty() {
--- a/components/fleet/tests/spread.rs
+++ b/components/fleet/tests/gossip.rs
@@ -6,8 +6,8 @@
 use bytes::Bytes;
 use clock::Millis;
 use edge::Peer;
-use fleet::{Neighbours, Origin, Spread};
-use wire::{Frame, Heard, Reader, Told};
+use fleet::{Gossip, Neighbours, Origin};
+use wire::{Frame, Observation, Observations, Reader};
 
 fn peer(name: &str) -> Peer {
     Peer { name: name.into(), hints: None, domain: "".into(), strength: 0 }
@@ -15,8 +15,8 @@
 
 /// A hint of its own for each router.
 fn hint(name: &str) -> Frame {
-    let told = Told { upstream: name.into(), requests: 1, waiting: 0, age_ms: 10 };
-    Frame::Heard(Heard { current: true, upstreams: vec![told] })
+    let told = Observation { upstream: name.into(), requests: 1, waiting: 0, age_ms: 10 };
+    Frame::Observations(Observations { current: true, upstreams: vec![told] })
 }
 
 fn frames(datagram: &Bytes) -> Vec<Frame> {
@@ -30,13 +30,13 @@
 /// How many routers have passed a datagram's hints on, and these.
 fn hints(datagram: &Bytes) -> (u32, Vec<Frame>) {
     let mut frames = frames(datagram);
-    let Frame::PassOn(hops) = frames.remove(0) else { panic!("no head") };
+    let Frame::Forwarded(hops) = frames.remove(0) else { panic!("no head") };
     (hops, frames)
 }
 
 struct Router {
     neighbours: Neighbours,
-    spread: Spread,
+    spread: Gossip,
     heard: BTreeMap<Arc<str>, usize>,
 }
 
@@ -48,17 +48,17 @@
         (0..domains).flat_map(|domain| [0, 1].map(|it| format!("f-{domain}-{it}"))).collect();
     for follower in &followers {
         let others = followers.iter().filter(|it| *it != follower).map(|it| peer(it)).collect();
-        ways.entry(follower.as_str().into()).or_default().followers = others;
+        ways.entry(follower.as_str().into()).or_default().pollers = others;
         for number in 0..direct {
             let (near, far) = (format!("{follower}-n{number}"), format!("{follower}-f{number}"));
             ways.entry(near.as_str().into()).or_default().source = Some(peer(follower));
             ways.entry(far.as_str().into()).or_default().source = Some(peer(&near));
-            ways.entry(follower.as_str().into()).or_default().hearers.push(peer(&near));
-            ways.entry(near.as_str().into()).or_default().hearers.push(peer(&far));
+            ways.entry(follower.as_str().into()).or_default().subscribers.push(peer(&near));
+            ways.entry(near.as_str().into()).or_default().subscribers.push(peer(&far));
         }
     }
     let router =
-        |neighbours| Router { neighbours, spread: Spread::default(), heard: BTreeMap::new() };
+        |neighbours| Router { neighbours, spread: Gossip::default(), heard: BTreeMap::new() };
     ways.into_iter().map(|(name, it)| (name, router(it))).collect()
 }
 
@@ -81,7 +81,7 @@
             let origin = router.neighbours.origin(&from);
             let (hops, hints) = hints(&datagram);
             for frame in hints {
-                let Frame::Heard(heard) = &frame else { panic!("{frame:?}") };
+                let Frame::Observations(heard) = &frame else { panic!("{frame:?}") };
                 *router.heard.entry(heard.upstreams[0].upstream.clone()).or_default() += 1;
                 router.spread.push(origin.clone(), frame, hops + 1, Millis::ZERO);
             }
@@ -116,8 +116,8 @@
         // What all know takes so many datagrams; each router hands them on to its neighbours.
         let full = size * 40 / 1_200 + 6;
         for (name, router) in &fleet {
-            let neighbours = router.neighbours.hearers.len()
-                + router.neighbours.followers.len()
+            let neighbours = router.neighbours.subscribers.len()
+                + router.neighbours.pollers.len()
                 + usize::from(router.neighbours.source.is_some());
             assert!(sent[name] <= neighbours * full, "{name} of {size}: {}", sent[name]);
         }
@@ -126,17 +126,17 @@
 
 #[test]
 fn ages_grow_while_hints_wait() {
-    let mut spread = Spread::default();
+    let mut spread = Gossip::default();
     spread.push(Origin::Own, hint("i-1"), 0, Millis(100));
     let neighbours = Neighbours { source: Some(peer("f")), ..Neighbours::default() };
     let datagrams = spread.flush(&neighbours, Millis(145));
-    let Frame::Heard(heard) = &hints(&datagrams[0].1).1[0] else { panic!("a hint") };
+    let Frame::Observations(heard) = &hints(&datagrams[0].1).1[0] else { panic!("a hint") };
     assert_eq!(heard.upstreams[0].age_ms, 55);
 }
 
 #[test]
 fn the_oldest_hints_are_given_up_where_too_many_wait() {
-    let mut spread = Spread::default();
+    let mut spread = Gossip::default();
     for number in 0..3_000 {
         spread.push(Origin::Own, hint(&format!("i-{number}")), 0, Millis::ZERO);
     }
@@ -153,10 +153,10 @@
     let router = |number: usize| Router {
         neighbours: Neighbours {
             source: Some(peer(names[(number + 1) % 3])),
-            hearers: vec![peer(names[(number + 2) % 3])],
-            followers: Vec::new(),
+            subscribers: vec![peer(names[(number + 2) % 3])],
+            pollers: Vec::new(),
         },
-        spread: Spread::default(),
+        spread: Gossip::default(),
         heard: BTreeMap::new(),
     };
     let mut fleet: BTreeMap<Arc<str>, Router> =
--- a/components/fleet/tests/hearers.rs
+++ b/components/fleet/tests/hearers.rs
@@ -2,7 +2,7 @@
 
 use clock::Millis;
 use edge::Peer;
-use fleet::Hearers;
+use fleet::Subscribers;
 
 /// How long a router waits until it asks again.
 const STEP: Millis = Millis(100);
@@ -18,7 +18,7 @@
 
 /// Routers that ask each other.
 struct Fleet {
-    routers: Vec<(Peer, Hearers)>,
+    routers: Vec<(Peer, Subscribers)>,
     now: Millis,
     /// The most names of one question.
     most: usize,
@@ -26,7 +26,7 @@
 
 impl Fleet {
     fn new(size: u8) -> Self {
-        let router = |it: Peer| (it.clone(), Hearers::new(it.name));
+        let router = |it: Peer| (it.clone(), Subscribers::new(it.name));
         Self { routers: (0..size).map(peer).map(router).collect(), now: Millis::ZERO, most: 0 }
     }
 
@@ -35,11 +35,11 @@
         self.now = self.now + STEP;
         for (asks, asked) in pairs {
             let (own, hearers) = &mut self.routers[*asks];
-            hearers.forget(self.now);
+            hearers.expire(self.now);
             let mut named = hearers.all();
             named.insert(0, own.clone());
             self.most = self.most.max(named.len());
-            self.routers[*asked].1.meet(named, self.now);
+            self.routers[*asked].1.register(named, self.now);
         }
     }
 
@@ -89,27 +89,27 @@
 
 #[test]
 fn a_question_that_names_very_many_routers_takes_little_room() {
-    let mut hearers = Hearers::new("front".into());
-    assert!(hearers.meet(vec![peer(1); 100_000], Millis(1)));
+    let mut hearers = Subscribers::new("front".into());
+    assert!(hearers.register(vec![peer(1); 100_000], Millis(1)));
     let distinct = |it: usize| Peer { name: format!("other-{it}").into(), ..peer(2) };
-    assert!(hearers.meet((0..100_000).map(distinct).collect(), Millis(1)));
+    assert!(hearers.register((0..100_000).map(distinct).collect(), Millis(1)));
     assert!(hearers.all().len() <= 2_000, "{} routers", hearers.all().len());
 }
 
 #[test]
 fn a_router_that_comes_back_from_a_referral_is_answered_once_and_others_are_referred_to_it() {
-    let mut hearers = Hearers::new("front".into());
+    let mut hearers = Subscribers::new("front".into());
     for number in 0..24 {
-        assert!(hearers.meet(vec![peer(number)], Millis(1)));
+        assert!(hearers.register(vec![peer(number)], Millis(1)));
     }
-    assert!(!hearers.meet(vec![peer(30)], Millis(1)));
-    assert!(hearers.meet(vec![peer(30)], Millis(900)));
+    assert!(!hearers.register(vec![peer(30)], Millis(1)));
+    assert!(hearers.register(vec![peer(30)], Millis(900)));
     assert!(hearers.relays().any(|it| *it == peer(30)));
-    assert!(!hearers.meet(vec![peer(30)], Millis(1_000)));
+    assert!(!hearers.register(vec![peer(30)], Millis(1_000)));
     let mut answered = 0;
     for number in 40..140 {
-        hearers.meet(vec![peer(number)], Millis(1_000));
-        answered += usize::from(hearers.meet(vec![peer(number)], Millis(1_100)));
+        hearers.register(vec![peer(number)], Millis(1_000));
+        answered += usize::from(hearers.register(vec![peer(number)], Millis(1_100)));
     }
     assert!(answered <= 24, "{answered} at a time");
 }
--- a/components/fleet/tests/mirror.rs
+++ b/components/fleet/tests/mirror.rs
@@ -48,7 +48,7 @@
                 Fact::Upstream { host, sequence, .. } => {
                     self.upstreams.insert(host.name.clone(), *sequence);
                 }
-                Fact::Gone(name) | Fact::Missing(name) => {
+                Fact::UpstreamRemoved(name) | Fact::UpstreamMissing(name) => {
                     self.upstreams.remove(name);
                 }
                 Fact::Evacuated(domain) => {
@@ -67,7 +67,7 @@
     /// Asks a mirror for what has changed.
     fn ask(&mut self, mirror: &Mirror, now: Millis) {
         let Some(position) = mirror.position() else { return };
-        let changes = self.position.and_then(|it| mirror.since(revision(it), now));
+        let changes = self.position.and_then(|it| mirror.changes_since(revision(it), now));
         match changes {
             Some(facts) => self.take(&facts, false, position.number),
             None => self.take(&mirror.all(now), true, position.number),
@@ -126,12 +126,12 @@
             let whole = whole || *seen == 0;
             *seen = number;
             let batch = Batch { facts, revision: revision(number), ..Batch::default() };
-            mirror.take(&batch, whole, false, false, Millis(number));
+            mirror.apply(&batch, whole, false, false, Millis(number));
         };
         for step in steps {
             let fact = match step {
                 Step::Write(entry) => Some(upstream(entry, number)),
-                Step::Remove(entry) => Some(Fact::Gone(format!("i-{entry}").into())),
+                Step::Remove(entry) => Some(Fact::UpstreamRemoved(format!("i-{entry}").into())),
                 Step::Evacuate => Some(Fact::Evacuated(domain.clone())),
                 Step::Restore => Some(Fact::Restored(domain.clone())),
                 Step::Look { whole } => {
@@ -163,24 +163,36 @@
     let mut mirror = Mirror::default();
     let take = |mirror: &mut Mirror, era, number, facts| {
         let revision = Revision { era: Era(era), number };
-        mirror.take(&Batch { facts, revision, ..Batch::default() }, true, false, false, Millis(1));
+        mirror.apply(&Batch { facts, revision, ..Batch::default() }, true, false, false, Millis(1));
     };
     take(&mut mirror, 1, 50, vec![upstream(1, 1), upstream(2, 1)]);
     take(&mut mirror, 2, 40, vec![upstream(1, 1)]);
-    assert_eq!(mirror.since(Revision { era: Era(1), number: 50 }, Millis(2)), None);
+    assert_eq!(mirror.changes_since(Revision { era: Era(1), number: 50 }, Millis(2)), None);
     assert_eq!(mirror.all(Millis(2)).len(), 2);
-    assert!(mirror.since(Revision { era: Era(2), number: 39 }, Millis(2)).is_none());
+    assert!(mirror.changes_since(Revision { era: Era(2), number: 39 }, Millis(2)).is_none());
 }
 
 #[test]
 fn what_is_missing_after_an_outage_is_told_as_missing() {
     let mut mirror = Mirror::default();
     let batch = |number, facts| Batch { facts, revision: revision(number), ..Batch::default() };
-    mirror.take(&batch(1, vec![upstream(1, 1), upstream(2, 1)]), true, false, false, Millis(1));
-    mirror.take(&batch(2, vec![Fact::Gone("i-1".into())]), false, true, false, Millis(2));
-    mirror.take(&batch(3, vec![Fact::Gone("i-2".into())]), false, false, false, Millis(3));
-    let told = mirror.since(revision(1), Millis(4)).expect("changes");
-    assert_eq!(told, [Fact::Missing("i-1".into()), Fact::Gone("i-2".into())]);
+    mirror.apply(&batch(1, vec![upstream(1, 1), upstream(2, 1)]), true, false, false, Millis(1));
+    mirror.apply(
+        &batch(2, vec![Fact::UpstreamRemoved("i-1".into())]),
+        false,
+        true,
+        false,
+        Millis(2),
+    );
+    mirror.apply(
+        &batch(3, vec![Fact::UpstreamRemoved("i-2".into())]),
+        false,
+        false,
+        false,
+        Millis(3),
+    );
+    let told = mirror.changes_since(revision(1), Millis(4)).expect("changes");
+    assert_eq!(told, [Fact::UpstreamMissing("i-1".into()), Fact::UpstreamRemoved("i-2".into())]);
 }
 
 #[test]
@@ -189,7 +201,7 @@
     let Fact::Upstream { host, sequence, .. } = upstream(1, 1) else { unreachable!() };
     let cold = |left| Fact::Upstream { host: host.clone(), sequence, cold: Millis(left) };
     let batch = Batch { facts: vec![cold(900)], revision: revision(1), ..Batch::default() };
-    mirror.take(&batch, true, false, false, Millis(1_000));
+    mirror.apply(&batch, true, false, false, Millis(1_000));
     assert_eq!(mirror.all(Millis(1_400)), [Fact::AllRestored, cold(500)]);
     assert_eq!(mirror.all(Millis(9_000)), [Fact::AllRestored, cold(0)]);
 }
@@ -200,7 +212,7 @@
     for (number, fact) in changes {
         let facts = vec![fact.clone()];
         let batch = Batch { facts, revision: revision(*number), ..Batch::default() };
-        mirror.take(&batch, *number == 1, false, false, Millis(*number));
+        mirror.apply(&batch, *number == 1, false, false, Millis(*number));
     }
     mirror
 }
@@ -211,23 +223,23 @@
     let read = |mirror: &mut Mirror, number, latest| {
         let facts = vec![Fact::AllRestored, upstream(1, 3)];
         let batch = Batch { facts, revision: revision(number), latest, ..Batch::default() };
-        mirror.take(&batch, true, false, false, Millis(number));
+        mirror.apply(&batch, true, false, false, Millis(number));
     };
     let position = revision(6);
     let mut watches = learnt(&[(1, upstream(1, 1))]);
     read(&mut watches, 5, 7);
     let event = Batch { facts: vec![upstream(1, 3)], revision: revision(9), ..Batch::default() };
-    watches.take(&event, false, false, false, Millis(9));
-    assert_eq!(watches.since(position, Millis(9)), Some(vec![upstream(1, 3)]));
+    watches.apply(&event, false, false, false, Millis(9));
+    assert_eq!(watches.changes_since(position, Millis(9)), Some(vec![upstream(1, 3)]));
 
     // The history may be gone again by the next look.
     let mut reads = learnt(&[(1, upstream(1, 1))]);
     read(&mut reads, 5, 7);
     read(&mut reads, 8, 8);
-    assert_eq!(reads.since(position, Millis(9)), Some(vec![upstream(1, 3)]));
+    assert_eq!(reads.changes_since(position, Millis(9)), Some(vec![upstream(1, 3)]));
     // It is told once: what was known then is no news later.
     read(&mut reads, 10, 10);
-    assert_eq!(reads.since(revision(8), Millis(9)), Some(vec![]));
+    assert_eq!(reads.changes_since(revision(8), Millis(9)), Some(vec![]));
 }
 
 #[test]
@@ -237,9 +249,12 @@
     for (number, latest) in [(5, 7), (8, 8)] {
         let facts = vec![Fact::AllRestored, upstream(1, 1)];
         let batch = Batch { facts, revision: revision(number), latest, ..Batch::default() };
-        mirror.take(&batch, true, false, false, Millis(number));
+        mirror.apply(&batch, true, false, false, Millis(number));
     }
-    assert_eq!(mirror.since(revision(6), Millis(9)), Some(vec![Fact::Gone("i-2".into())]));
+    assert_eq!(
+        mirror.changes_since(revision(6), Millis(9)),
+        Some(vec![Fact::UpstreamRemoved("i-2".into())])
+    );
 }
 
 #[test]
@@ -248,7 +263,7 @@
     let evacuated = Fact::Evacuated(domain);
     // Who has come to 7 elsewhere knows that it was restored then; this one was told of 9 only.
     let mirror = learnt(&[(1, upstream(1, 1)), (5, evacuated.clone()), (9, evacuated.clone())]);
-    assert_eq!(mirror.since(revision(7), Millis(9)), Some(vec![evacuated]));
+    assert_eq!(mirror.changes_since(revision(7), Millis(9)), Some(vec![evacuated]));
 }
 
 #[test]
@@ -258,6 +273,6 @@
     let mut mirror = learnt(&[(1, upstream(1, 1)), (5, evacuated.clone())]);
     let facts = vec![Fact::AllRestored, evacuated];
     let batch = Batch { facts, revision: revision(9), ..Batch::default() };
-    mirror.take(&batch, false, false, false, Millis(9));
-    assert_eq!(mirror.since(revision(7), Millis(9)), Some(vec![]));
+    mirror.apply(&batch, false, false, false, Millis(9));
+    assert_eq!(mirror.changes_since(revision(7), Millis(9)), Some(vec![]));
 }
--- a/components/fleet/tests/sources.rs
+++ b/components/fleet/tests/sources.rs
@@ -78,14 +78,14 @@
             looks: 0,
             pace: 1,
         };
-        fleet.routers[0].sources.follow();
+        fleet.routers[0].sources.become_poller();
         fleet
     }
 
     /// What the followers announce: themselves, and all that have heard from them.
     fn announcements(&self) -> Vec<Announcement> {
         let is_announced =
-            |it: &&Router| it.sources.follows() && it.reached.until(self.now) < LEASE;
+            |it: &&Router| it.sources.is_poller() && it.reached.until(self.now) < LEASE;
         let followers = self.routers.iter().filter(|it| it.lives).filter(is_announced);
         let announce = |it: &Router| {
             let hears =
@@ -120,22 +120,22 @@
             }
             let announcements = router.seen.map_or(&[][..], |it| &self.announced[it]);
             let names = announcements.iter().map(|it| it.router.name.clone()).collect();
-            router.roster.keep_only(&names);
+            router.roster.retain(&names);
             for announcement in announcements {
-                router.roster.put(announcement.clone());
+                router.roster.insert(announcement.clone());
             }
-            router.sources.decide(&mut router.roster, now);
+            router.sources.update_role(&mut router.roster, now);
             match router.sources.next(&mut router.roster, now) {
                 Source::Store if router.reaches => {
                     looks += 1;
-                    router.sources.store_answered(now);
+                    router.sources.record_store_success(now);
                     router.proof = Some(now);
                     router.source = None;
                     router.seen = Some(latest);
                 }
                 Source::Store => {
                     looks += 1;
-                    router.sources.store_failed(Millis(300), &mut router.roster, now);
+                    router.sources.record_store_failure(Millis(300), &mut router.roster, now);
                 }
                 Source::Router(peer) => {
                     let told = known.iter().find(|it| it.0 == peer.name).filter(|it| it.1);
@@ -144,11 +144,13 @@
                         Some(proof) if proof.until(now) < Millis(1_800) => {
                             router.proof = router.proof.max(Some(proof));
                             router.source = Some(peer.name.clone());
-                            router.sources.served(&peer.name);
+                            router.sources.record_success(&peer.name);
                         }
-                        Some(_) => router.sources.stale(&peer.name, now),
-                        None if told.is_some() => router.sources.refer(&peer.name, Vec::new(), now),
-                        None => router.sources.failed(&peer.name, now),
+                        Some(_) => router.sources.record_stale(&peer.name, now),
+                        None if told.is_some() => {
+                            router.sources.record_referral(&peer.name, Vec::new(), now)
+                        }
+                        None => router.sources.record_failure(&peer.name, now),
                     }
                 }
                 Source::Pause(_) => {}
@@ -165,7 +167,8 @@
 
     fn followers(&self, domain: usize) -> usize {
         let domain = format!("zone-{domain}");
-        let follows = |it: &&Router| it.lives && it.sources.follows() && *it.own.domain == *domain;
+        let follows =
+            |it: &&Router| it.lives && it.sources.is_poller() && *it.own.domain == *domain;
         self.routers.iter().filter(follows).count()
     }
 
@@ -217,7 +220,7 @@
 fn the_loss_of_followers_costs_a_few_looks_of_others() {
     let mut fleet = Fleet::new(1, 77);
     fleet.run(Millis(12_000));
-    for router in fleet.routers.iter_mut().filter(|it| it.sources.follows()) {
+    for router in fleet.routers.iter_mut().filter(|it| it.sources.is_poller()) {
         router.lives = false;
     }
     fleet.looks = 0;
@@ -238,7 +241,7 @@
 fn followers_that_the_store_turns_away_hear_from_others() {
     let mut fleet = Fleet::new(2, 20);
     fleet.run(Millis(12_000));
-    let first = fleet.routers.iter_mut().find(|it| it.sources.follows()).expect("a follower");
+    let first = fleet.routers.iter_mut().find(|it| it.sources.is_poller()).expect("a follower");
     first.reaches = false;
     for _ in 0..80 {
         fleet.step();
@@ -267,7 +270,7 @@
     for (domains, size) in [(3, 10), (1, 30), (5, 20)] {
         let mut fleet = Fleet::new(domains, size);
         for router in &mut fleet.routers {
-            router.sources.follow();
+            router.sources.become_poller();
         }
         fleet.run(Millis(6_000));
         for _ in 0..150 {
@@ -351,10 +354,10 @@
     let mut sources = Sources::new(peer(number, 1), Millis::ZERO);
     let mut roster = Roster::default();
     let (far, relay) = (peer(0, 0), peer(1, 0));
-    roster.put(announces(&far));
-    sources.refer(&far.name, vec![relay.clone()], Millis::ZERO);
+    roster.insert(announces(&far));
+    sources.record_referral(&far.name, vec![relay.clone()], Millis::ZERO);
     assert_eq!(sources.next(&mut roster, Millis::ZERO), Source::Router(relay.clone()));
-    sources.served(&relay.name);
+    sources.record_success(&relay.name);
     (sources, roster)
 }
 
@@ -368,12 +371,12 @@
     let mut homecomers = vec![0; 100];
     for number in 0..60 {
         let (mut sources, mut roster) = away(number);
-        roster.put(announces(&home));
+        roster.insert(announces(&home));
         let asks_home = |step: &usize| {
             let now = Millis(100 * *step as u64);
             let next = sources.next(&mut roster, now);
             if let Source::Router(it) = &next {
-                sources.served(&it.name);
+                sources.record_success(&it.name);
             }
             next == Source::Router(home.clone())
         };
@@ -388,9 +391,9 @@
 fn a_router_that_has_nobody_else_asks_the_follower_of_its_domain_at_once() {
     let home = peer(100, 1);
     let (mut sources, mut roster) = away(1);
-    roster.put(announces(&home));
-    sources.failed(&peer(0, 0).name, Millis(100));
-    sources.failed(&peer(1, 0).name, Millis(100));
+    roster.insert(announces(&home));
+    sources.record_failure(&peer(0, 0).name, Millis(100));
+    sources.record_failure(&peer(1, 0).name, Millis(100));
     assert_eq!(sources.next(&mut roster, Millis(200)), Source::Router(home));
 }
 
@@ -399,10 +402,10 @@
     let mut sources = Sources::new(peer(1, 0), Millis::ZERO);
     let mut roster = Roster::default();
     let (hears, other) = (peer(2, 0), peer(3, 1));
-    roster.put(announces(&hears));
-    roster.put(announces(&other));
-    sources.hear([hears.name.clone()].into());
+    roster.insert(announces(&hears));
+    roster.insert(announces(&other));
+    sources.set_subscribers([hears.name.clone()].into());
     assert_eq!(sources.next(&mut roster, Millis(100)), Source::Router(other.clone()));
-    sources.failed(&other.name, Millis(200));
+    sources.record_failure(&other.name, Millis(200));
     assert_eq!(sources.next(&mut roster, Millis(300)), Source::Router(hears));
 }
--- a/components/fleet/tests/starts.rs
+++ b/components/fleet/tests/starts.rs
@@ -2,7 +2,7 @@
 
 use clock::Millis;
 use edge::{Announcement, Peer};
-use fleet::{Hearers, Roster, Source, Sources};
+use fleet::{Roster, Source, Sources, Subscribers};
 
 /// How long a step of the tests takes.
 const STEP: Millis = Millis(100);
@@ -38,7 +38,7 @@
     roster: Roster,
     /// What it knows of the store.
     known: Vec<Announcement>,
-    hearers: Hearers,
+    hearers: Subscribers,
     starts: usize,
     /// Until when it is too busy to answer.
     busy_until: usize,
@@ -65,7 +65,7 @@
     fn new(domains: usize, size: usize, before: usize) -> Self {
         let router = |own: Peer| Router {
             sources: Sources::new(own.clone(), Millis::ZERO),
-            hearers: Hearers::new(own.name.clone()),
+            hearers: Subscribers::new(own.name.clone()),
             roster: Roster::default(),
             known: Vec::new(),
             starts: 0,
@@ -114,7 +114,7 @@
                 self.meet(place);
             }
         }
-        let follows = |it: &&Router| it.met && it.sources.follows() && it.proof.is_some();
+        let follows = |it: &&Router| it.met && it.sources.is_poller() && it.proof.is_some();
         for router in self.routers.iter().filter(follows) {
             let announcement =
                 Announcement { router: router.own.clone(), hearers: router.hearers.all(), most: 0 };
@@ -133,10 +133,10 @@
         }
         router.met = true;
         for announcement in &self.announced {
-            router.roster.put(announcement.clone());
+            router.roster.insert(announcement.clone());
         }
-        if self.announced.is_empty() || router.roster.announces(&router.own.name) {
-            router.sources.follow();
+        if self.announced.is_empty() || router.roster.is_announced(&router.own.name) {
+            router.sources.become_poller();
         }
     }
 
@@ -145,18 +145,18 @@
         let up = self.step >= self.store_from;
         let announced = self.announced.clone();
         let router = &mut self.routers[place];
-        router.sources.decide(&mut router.roster, now);
+        router.sources.update_role(&mut router.roster, now);
         match router.sources.next(&mut router.roster, now) {
             Source::Store if up => {
                 self.calls += 1;
-                router.sources.store_answered(now);
+                router.sources.record_store_success(now);
                 learn(router, &announced, now, self.step);
                 // The next look is due in a second.
                 router.starts = self.step + 10;
             }
             Source::Store => {
                 self.calls += 1;
-                router.sources.store_failed(Millis(300), &mut router.roster, now);
+                router.sources.record_store_failure(Millis(300), &mut router.roster, now);
             }
             Source::Router(peer) => self.ask(place, &peer),
             Source::Pause(pause) => {
@@ -170,16 +170,16 @@
         let now = self.now();
         let asked = self.place(&peer.name).expect("a known router");
         if !self.routers[asked].met && self.step < self.routers[asked].starts {
-            return self.routers[place].sources.failed(&peer.name, now);
+            return self.routers[place].sources.record_failure(&peer.name, now);
         }
         let mut named = self.routers[place].hearers.all();
         named.insert(0, self.routers[place].own.clone());
-        if self.routers[asked].hearers.meet(named, now) {
+        if self.routers[asked].hearers.register(named, now) {
             self.routers[place].question = Some(Question { asked, began: self.step });
             return self.wait(place);
         }
         let others = self.routers[asked].hearers.relays().cloned().collect();
-        self.routers[place].sources.refer(&peer.name, others, now);
+        self.routers[place].sources.record_referral(&peer.name, others, now);
     }
 
     /// Takes the answer to a question, if there is one by now.
@@ -190,7 +190,7 @@
         let name = asked.own.name.clone();
         if self.step < asked.busy_until {
             if self.step >= question.began + SILENCE {
-                self.routers[place].sources.failed(&name, now);
+                self.routers[place].sources.record_failure(&name, now);
             } else {
                 self.routers[place].question = Some(question);
             }
@@ -201,7 +201,7 @@
         let is_news = proof.is_some_and(|it| known.is_none_or(|known| it > known + Millis(200)));
         let Some(proof) = proof.filter(|_| is_news) else {
             if self.step >= question.began + if known.is_some() { 12 } else { WAIT } {
-                self.routers[place].sources.refer(&name, Vec::new(), now);
+                self.routers[place].sources.record_referral(&name, Vec::new(), now);
             } else {
                 self.routers[place].question = Some(question);
             }
@@ -214,9 +214,9 @@
         let router = &mut self.routers[place];
         learn(router, &announced, proof, step);
         if proof.until(now) < OLD {
-            router.sources.served(&name);
+            router.sources.record_success(&name);
         } else {
-            router.sources.stale(&name, now);
+            router.sources.record_stale(&name, now);
         }
     }
 
@@ -237,7 +237,7 @@
 
 fn learn(router: &mut Router, announced: &[Announcement], proof: Millis, step: usize) {
     for announcement in announced {
-        router.roster.put(announcement.clone());
+        router.roster.insert(announcement.clone());
     }
     router.known = announced.to_vec();
     router.proof = router.proof.max(Some(proof));
--- a/components/permits/src/decision.rs
+++ b/components/permits/src/decision.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use clock::Millis;
-use wire::Turn;
+use wire::ClaimState;
 
 /// A decision on a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -15,7 +15,7 @@
     /// The workspace.
     pub workspace: Arc<str>,
     /// What was decided.
-    pub turn: Turn,
+    pub turn: ClaimState,
     /// How long the request waited.
     pub waited: Millis,
 }
--- a/components/permits/src/issuer.rs
+++ b/components/permits/src/issuer.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use clock::Millis;
-use wire::{Claim, Claims, Finish, Held, Release, Turn, Verdict};
+use wire::{Claim, ClaimState, Claims, Finish, Held, Release, Verdict};
 
 use crate::decision::{Decision, Snapshot};
 use crate::limit::Limit;
@@ -65,7 +65,7 @@
     /// Claims that arrived since the last call of `decide`.
     arrived: Vec<Id>,
     /// Decisions with their times; `None` for released claims.
-    decided: HashMap<Id, (Option<Turn>, Millis)>,
+    decided: HashMap<Id, (Option<ClaimState>, Millis)>,
     objective: Millis,
     started: Millis,
     saturated_at: Millis,
@@ -112,7 +112,8 @@
         for release in &claims.releases {
             self.release(&claims.router, release, now);
         }
-        let known = claims.asks.iter().filter_map(|claim| self.enqueue(&claims.router, claim, now));
+        let known =
+            claims.claims.iter().filter_map(|claim| self.enqueue(&claims.router, claim, now));
         known.collect()
     }
 
@@ -132,7 +133,7 @@
             decisions.extend(self.waiting(id, now));
         }
         if !self.queue.is_empty()
-            || decisions.iter().any(|decision| matches!(decision.turn, Turn::Refused(_)))
+            || decisions.iter().any(|decision| matches!(decision.turn, ClaimState::Refused(_)))
         {
             self.saturated_at = now;
         }
@@ -182,20 +183,20 @@
         let id = (router.clone(), claim.number);
         let number = claim.number;
         if let Some((turn, _)) = self.decided.get(&id) {
-            return turn.clone().map(|turn| Verdict { number, turn });
+            return turn.clone().map(|turn| Verdict { number, state: turn });
         }
         if self.queue.get(&id).is_some() {
-            return Some(Verdict { number, turn: Turn::Waits });
+            return Some(Verdict { number, state: ClaimState::Queued });
         }
         let objective = Millis(u64::from(claim.objective_ms));
         self.objective = objective;
         self.arrived.push(id.clone());
         let arrived = Millis(now.0.saturating_sub(u64::from(claim.age_ms)));
         self.queue.push(Waiter {
-            timing: self.retries.record_arrival(claim.content, now),
+            timing: self.retries.record_arrival(claim.fingerprint, now),
             id,
             workspace: claim.workspace.clone(),
-            fingerprint: claim.content,
+            fingerprint: claim.fingerprint,
             urgency: claim.urgency,
             repeatable: claim.repeatable,
             arrived,
@@ -253,7 +254,10 @@
             let id = (router.clone(), *number);
             if let Some(grant) = self.grants.get_mut(&id) {
                 grant.renewed = now;
-            } else if !matches!(self.decided.get(&id), Some((None | Some(Turn::Refused(_)), _))) {
+            } else if !matches!(
+                self.decided.get(&id),
+                Some((None | Some(ClaimState::Refused(_)), _))
+            ) {
                 self.insert_grant(id, &held.upstream, now);
             }
         }
@@ -331,30 +335,30 @@
 
     fn grant(&mut self, waiter: Waiter, upstream: &Arc<str>, now: Millis) -> Decision {
         self.insert_grant(waiter.id.clone(), upstream, now);
-        self.decision(waiter, Turn::Granted(upstream.clone()), now)
+        self.decision(waiter, ClaimState::Granted(upstream.clone()), now)
     }
 
     fn refuse(&mut self, waiter: Waiter, now: Millis) -> Decision {
         let rate = self.rate_per_ms(now);
         let after = self.retries.schedule(waiter.fingerprint, waiter.objective, rate, now);
         let after = u32::try_from(after.0).unwrap_or(u32::MAX);
-        self.decision(waiter, Turn::Refused(after), now)
+        self.decision(waiter, ClaimState::Refused(after), now)
     }
 
     fn waiting(&self, id: Id, now: Millis) -> Option<Decision> {
         let waiter = self.queue.get(&id)?;
         let (workspace, waited) = (waiter.workspace.clone(), waiter.arrived.until(now));
-        Some(Decision { router: id.0, number: id.1, workspace, turn: Turn::Waits, waited })
+        Some(Decision { router: id.0, number: id.1, workspace, turn: ClaimState::Queued, waited })
     }
 
-    fn decision(&mut self, waiter: Waiter, turn: Turn, now: Millis) -> Decision {
+    fn decision(&mut self, waiter: Waiter, turn: ClaimState, now: Millis) -> Decision {
         self.record_decision(&waiter.id, Some(turn.clone()), now);
         let (router, number) = waiter.id;
         let waited = waiter.arrived.until(now);
         Decision { router, number, workspace: waiter.workspace, turn, waited }
     }
 
-    fn record_decision(&mut self, id: &Id, turn: Option<Turn>, now: Millis) {
+    fn record_decision(&mut self, id: &Id, turn: Option<ClaimState>, now: Millis) {
         self.decided.insert(id.clone(), (turn, now));
     }
 }
--- a/components/permits/src/requester.rs
+++ b/components/permits/src/requester.rs
@@ -5,7 +5,7 @@
 
 use crate::retries::MAX_RETRY_AFTER;
 use clock::Millis;
-use wire::{Claim, Claims, Finish, Held, Release, Short, Turn, Verdict};
+use wire::{Claim, ClaimState, Claims, Finish, Held, Release, Saturated, Verdict};
 
 /// The time between two renewals of held permits.
 const RENEWAL_INTERVAL: Millis = Millis(200);
@@ -103,7 +103,7 @@
     }
 
     /// Takes the pool's rate from its owner's message.
-    pub fn receive_saturation(&mut self, short: &Short) {
+    pub fn receive_saturation(&mut self, short: &Saturated) {
         self.rate = f64::from(short.rate) / 1_000_000.0;
     }
 
@@ -119,7 +119,7 @@
         self.silent_at = None;
         let Some(pending) = self.pending.get_mut(&verdict.number) else {
             self.record_late_reply(verdict.number, now);
-            if let Turn::Granted(upstream) = &verdict.turn
+            if let ClaimState::Granted(upstream) = &verdict.state
                 && !self.held.contains_key(&verdict.number)
             {
                 self.push_release(verdict.number, upstream, Finish::Unused, Millis::ZERO);
@@ -129,18 +129,18 @@
         if pending.last_sent.take().is_some() && !pending.queued {
             self.round_trip = Some(smooth(self.round_trip, pending.first_sent.until(now)));
         }
-        match &verdict.turn {
-            Turn::Waits => {
+        match &verdict.state {
+            ClaimState::Queued => {
                 pending.queued = true;
                 pending.last_sent = Some(now);
                 None
             }
-            Turn::Granted(upstream) => {
+            ClaimState::Granted(upstream) => {
                 self.pending.remove(&verdict.number);
                 self.held.insert(verdict.number, upstream.clone());
                 Some(Resolution::Granted(upstream.clone()))
             }
-            Turn::Refused(after) => {
+            ClaimState::Refused(after) => {
                 self.pending.remove(&verdict.number);
                 Some(Resolution::Refused(u64::from(*after)))
             }
@@ -283,7 +283,7 @@
         let mut releases = releases.into_iter().peekable();
         while claims.peek().is_some() || releases.peek().is_some() {
             packed.push(Claims {
-                asks: claims.by_ref().take(MAX_ENTRIES / 2).collect(),
+                claims: claims.by_ref().take(MAX_ENTRIES / 2).collect(),
                 releases: releases.by_ref().take(MAX_ENTRIES).collect(),
                 ..empty()
             });
--- a/components/permits/tests/issuer.rs
+++ b/components/permits/tests/issuer.rs
@@ -7,7 +7,7 @@
 use permits::{Issuer, Settings};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use wire::{Claim, Claims, Finish, Held, Release, Turn};
+use wire::{Claim, ClaimState, Claims, Finish, Held, Release};
 
 const OBJECTIVE: u32 = 300;
 
@@ -84,7 +84,7 @@
                     number,
                     workspace: format!("w-{workspace}").into(),
                     // Fingerprints of different workspaces differ.
-                    content: number / 2 * 8 + u64::from(*workspace),
+                    fingerprint: number / 2 * 8 + u64::from(*workspace),
                     urgency: *urgency,
                     objective_ms: OBJECTIVE,
                     ..Claim::default()
@@ -123,12 +123,12 @@
 
     fn send_claim(&mut self, which: usize) {
         let (router, claim) = self.claims[which].clone();
-        self.receive(&Claims { asks: vec![claim], ..Self::message(router) });
+        self.receive(&Claims { claims: vec![claim], ..Self::message(router) });
     }
 
     fn receive(&mut self, claims: &Claims) {
         for verdict in self.issuer.receive(claims, self.now) {
-            self.record(verdict.number, &verdict.turn);
+            self.record(verdict.number, &verdict.state);
         }
     }
 
@@ -136,7 +136,7 @@
         let decisions = self.issuer.decide(self.now);
         let upstreams: Vec<_> = self.issuer.upstreams(self.now).collect();
         for decision in &decisions {
-            if let Turn::Granted(name) = &decision.turn {
+            if let ClaimState::Granted(name) = &decision.turn {
                 let upstream =
                     upstreams.iter().find(|upstream| upstream.0 == name).expect("an upstream");
                 assert!(upstream.2 <= upstream.1, "{upstream:?} after a grant");
@@ -149,11 +149,11 @@
         }
     }
 
-    fn record(&mut self, number: u64, turn: &Turn) {
+    fn record(&mut self, number: u64, turn: &ClaimState) {
         let name = match turn {
-            Turn::Granted(_) => "granted",
-            Turn::Refused(_) => "refused",
-            Turn::Waits => return,
+            ClaimState::Granted(_) => "granted",
+            ClaimState::Refused(_) => "refused",
+            ClaimState::Queued => return,
         };
         self.decisions.entry(number).or_default().insert(name);
         assert_eq!(self.decisions[&number].len(), 1, "{number} was granted and refused");
--- a/components/permits/tests/loads/world.rs
+++ b/components/permits/tests/loads/world.rs
@@ -7,7 +7,7 @@
 use permits::{Issuer, Requester, Resolution, Settings};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use wire::{Claim, Claims, Finish, Short, Turn, Verdict};
+use wire::{Claim, ClaimState, Claims, Finish, Saturated, Verdict};
 
 pub const SLOTS: usize = 6;
 const QUEUE: usize = 24;
@@ -200,11 +200,11 @@
         }
         if at.is_multiple_of(400) {
             let snapshot = self.owners[0].snapshot(now);
-            let short = Short {
+            let short = Saturated {
                 pool: "plain".into(),
                 owner: "o".into(),
                 rate: snapshot.rate,
-                lasts_ms: 1_500,
+                ttl_ms: 1_500,
             };
             self.requesters.iter_mut().for_each(|requester| requester.receive_saturation(&short));
         }
@@ -237,7 +237,7 @@
             let claim = Claim {
                 number,
                 workspace: format!("w-{}", request.workspace).into(),
-                content: request.fingerprint,
+                fingerprint: request.fingerprint,
                 urgency: 2,
                 repeatable: number.is_multiple_of(2),
                 objective_ms: 300,
@@ -327,17 +327,17 @@
         self.owners[owner].set_upstreams(&[("up".into(), SLOTS as u64)]);
         for decision in self.owners[owner].decide(now) {
             let router: usize = decision.router[7..].parse().expect("a number");
-            let verdict = Verdict { number: decision.number, turn: decision.turn.clone() };
+            let verdict = Verdict { number: decision.number, state: decision.turn.clone() };
             match decision.turn {
-                Turn::Refused(_) => {
+                ClaimState::Refused(_) => {
                     self.refused.insert(decision.number);
                     let late = decision.waited.0 * 10 > OBJECTIVE + 10 * self.setup.delay * 2 + 10;
                     self.totals.refused_late += usize::from(late && now.0 >= 2_000);
                 }
-                Turn::Granted(_) => {
+                ClaimState::Granted(_) => {
                     self.granted.insert(decision.number);
                 }
-                Turn::Waits => {}
+                ClaimState::Queued => {}
             }
             if self.setup.cut != Some(router) {
                 self.send(now.0, || Message::Verdict(router, verdict.clone()));
--- a/components/router/src/announcement.rs
+++ b/components/router/src/announcement.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use clock::Millis;
-use edge::{Announcement, Fault, Lease};
+use edge::{Announcement, Error, Lease};
 use spdlog::debug;
 
 use crate::core::Core;
@@ -83,14 +83,14 @@
 
 /// Renews the lease when it is time, and writes the announcement where it has changed or its
 /// lease is over.
-async fn renew(core: &Core, written: &mut Option<Written>) -> Result<(), Fault> {
+async fn renew(core: &Core, written: &mut Option<Written>) -> Result<(), Error> {
     let store = &core.edges().store;
     let now = core.clock.now();
     let announcement = core.fleet().announcement(now);
     if let Some(it) = written
         && it.renewed.until(now) >= RENEW_EVERY
     {
-        if store.renew(it.lease).await? {
+        if store.renew_lease(it.lease).await? {
             it.renewed = now;
         } else {
             *written = None;
@@ -101,7 +101,7 @@
     }
     let (lease, renewed) = match written {
         Some(it) => (it.lease, it.renewed),
-        None => (store.grant(LASTS).await?, now),
+        None => (store.grant_lease(LASTS).await?, now),
     };
     store.announce(announcement.clone(), lease).await?;
     *written = Some(Written { lease, announcement, renewed, at: now });
@@ -110,7 +110,7 @@
 
 /// Whether what is written may stay for now.
 fn may_stay(core: &Core, written: &Written, announcement: &Announcement, now: Millis) -> bool {
-    let is_new = announcement.hearers.iter().any(|it| !core.fleet().roster().names(&it.name));
+    let is_new = announcement.hearers.iter().any(|it| !core.fleet().roster().is_listed(&it.name));
     let moved = written.announcement != *announcement;
     !is_new && (!moved || written.at.until(now) < MOVE_EVERY)
 }
--- a/components/router/src/background.rs
+++ b/components/router/src/background.rs
@@ -10,7 +10,7 @@
 use routing::{Effect, Event, Host};
 use snafu::ResultExt;
 use spdlog::{error, info};
-use store::Reading;
+use store::Update;
 use tokio::sync::mpsc::Receiver;
 use tokio::task::JoinSet;
 use wire::Frame;
@@ -69,12 +69,12 @@
     let Ok(mut hosts) = store::Hosts::new(&core.settings.hosts_url).await else { return };
     let mut connecting = JoinSet::new();
     loop {
-        let event = match hosts.read().await {
-            Ok(Reading { entries: Some(entries), bytes }) => {
+        let event = match hosts.fetch().await {
+            Ok(Update { entries: Some(entries), bytes }) => {
                 core.metrics.control("hosts", bytes);
                 Event::Hosts(entries.into_iter().map(host).collect())
             }
-            Ok(Reading { entries: None, .. }) | Err(_) => Event::Tick,
+            Ok(Update { entries: None, .. }) | Err(_) => Event::Tick,
         };
         for effect in core.apply(event) {
             if let Effect::Connect { upstream, address } = effect {
@@ -155,7 +155,7 @@
     let timeout = Duration::from_millis(core.settings.connect_ms);
     while let Some(effect) = outbox.recv().await {
         let Effect::UpdateDirectory { upstream, address, note } = effect else { continue };
-        let frame = Frame::Note(note);
+        let frame = Frame::DirectoryUpdate(note);
         core.metrics.control("note", wire::encode(&frame).map_or(0, |it| it.len()));
         let told = async {
             if let Ok((mut call, _)) = core.links.call(&upstream, &address, &frame).await {
--- a/components/router/src/core.rs
+++ b/components/router/src/core.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use clock::{Clock, Millis};
-use edge::{Edges, Peer};
+use edge::{Adapter, Peer};
 use errors::Kind;
 use intents::Plan;
 use link::Links;
@@ -15,7 +15,9 @@
 use telemetry::{Metrics, Tracer};
 use tokio::sync::mpsc::{Receiver, Sender, channel};
 use tokio::sync::{Notify, watch};
-use wire::{Delay, Demands, Ended, Frame, Heard, Hello, Loads, Outcome, Warm};
+use wire::{
+    Delay, Demands, Frame, Hello, Loads, Observations, Outcome, UpstreamCrash, WarmPrefixes,
+};
 
 use crate::crashes::Crashes;
 use crate::decisions::Decisions;
@@ -218,10 +220,10 @@
     }
 
     /// Tells the other routers where parts of prompts are warm.
-    fn share(&self, warm: &Warm) {
+    fn share(&self, warm: &WarmPrefixes) {
         let peers = self.peers().filter(|_| self.settings.routing.mechanisms.hints);
         if let Some(peers) = peers {
-            let bytes = peers.tell(Frame::Warm(warm.clone()), self.clock.now());
+            let bytes = peers.tell(Frame::WarmPrefixes(warm.clone()), self.clock.now());
             self.metrics.control("warm", bytes);
         }
     }
@@ -232,8 +234,8 @@
     fn tell_ended(&self, crashes: &[Crash]) {
         if let (Some(peers), Some(first)) = (self.peers(), crashes.first()) {
             let contents = crashes.iter().map(|it| it.content).collect();
-            let ended = Ended { upstream: first.upstream.clone(), contents };
-            let bytes = peers.tell(Frame::Ended(ended), self.clock.now());
+            let ended = UpstreamCrash { upstream: first.upstream.clone(), fingerprints: contents };
+            let bytes = peers.tell(Frame::UpstreamCrash(ended), self.clock.now());
             self.metrics.control("ended", bytes);
         }
     }
@@ -253,12 +255,12 @@
     }
 
     /// What is known of warm parts, and how often it has changed.
-    pub(crate) fn warm_parts(&self) -> (u64, Vec<Warm>) {
+    pub(crate) fn warm_parts(&self) -> (u64, Vec<WarmPrefixes>) {
         self.state.borrow().warm_prefixes()
     }
 
     /// What answers have told of loads since this was asked last.
-    pub(crate) fn heard(&self) -> Heard {
+    pub(crate) fn heard(&self) -> Observations {
         self.state.borrow_mut().heard(self.clock.now())
     }
 
@@ -304,7 +306,7 @@
     /// # Panics
     ///
     /// The router does not run on a platform.
-    pub(crate) fn edges(&self) -> &Edges {
+    pub(crate) fn edges(&self) -> &Adapter {
         &self.direct.as_ref().expect("only called on a platform").edges
     }
 
--- a/components/router/src/crashes.rs
+++ b/components/router/src/crashes.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use clock::Millis;
-use edge::{Fault, Lease};
+use edge::{Error, Lease};
 use routing::{Check, Crash, Event};
 use spdlog::{info, warn};
 use tokio::sync::Notify;
@@ -138,7 +138,7 @@
 
 /// Writes all that is to be told. It lasts as long as what is told is to be remembered: a lease
 /// that has used up half of its time, or is of an earlier era, is replaced.
-async fn tell_once(core: &Core, held: &mut Held) -> Result<(), Fault> {
+async fn tell_once(core: &Core, held: &mut Held) -> Result<(), Error> {
     let store = &core.edges().store;
     let lasts = Millis(core.settings.routing.quarantine_ms);
     let ttl = lasts.min(LONGEST_LEASE);
@@ -149,12 +149,12 @@
     let fresh = held.filter(is_fresh);
     let (lease, granted) = match fresh {
         Some(fresh) => fresh,
-        None => (store.grant(ttl).await?, now),
+        None => (store.grant_lease(ttl).await?, now),
     };
     *held = Some((lease, granted));
     let crashes = core.crashes.told(lasts, now);
     let ends = crashes.len();
-    store.report(core.settings.name.clone(), crashes, lease).await?;
+    store.report_crashes(core.settings.name.clone(), crashes, lease).await?;
     info!("ends of upstreams told", kv: { ends });
     Ok(())
 }
--- a/components/router/src/direct.rs
+++ b/components/router/src/direct.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use bytes::{Bytes, BytesMut};
-use edge::{Sending, Told};
+use edge::{Dispatch, Feedback};
 use errors::Kind;
 use events::Splitter;
 use outbound::{Answer, Fault};
@@ -84,12 +84,12 @@
         workspace: Option<&str>,
         progress: Progress,
     ) -> Self {
-        let sending = Sending {
+        let sending = Dispatch {
             remaining: attempt.remaining,
             upstream: &attempt.upstream,
             workspace,
             priority: template.events.then_some(attempt.priority),
-            warm: attempt.copy_from.as_deref(),
+            copy_from: attempt.copy_from.as_deref(),
             last_event: progress.event.filter(|_| attempt.resume),
         };
         let outgoing = outgoing(core, template, &sending);
@@ -149,7 +149,7 @@
         self.stage = Stage::Over;
         let status = answer.status;
         let headers = std::mem::take(&mut answer.headers);
-        let told = self.core.edges().dialect.told(status, &headers);
+        let told = self.core.edges().dialect.parse_response(status, &headers);
         if told.id.as_ref().is_some_and(|it| *it != self.request) {
             return Err(Lost { sent: true });
         }
@@ -175,7 +175,7 @@
     }
 
     /// Takes what the head of an answer says of its upstream.
-    fn hear(&self, told: &Told) {
+    fn hear(&self, told: &Feedback) {
         if let Some(edge::Load { running, waiting, pace }) = told.load {
             let (upstream, requests) = (self.upstream.clone(), running.saturating_add(waiting));
             if let Some(percent) = pace {
@@ -186,7 +186,7 @@
         if let Some(left) = told.cold {
             self.core.apply(Event::Cold { upstream: self.upstream.clone(), remaining: left });
         }
-        if let Some(lasts) = told.rest {
+        if let Some(lasts) = told.backoff {
             self.core.apply(Event::Backoff { upstream: self.upstream.clone(), duration: lasts });
         }
         if told.leaving {
@@ -269,7 +269,7 @@
 }
 
 /// The request of `template` as it goes to the upstream.
-fn outgoing(core: &Core, template: &Template, sending: &Sending<'_>) -> outbound::Request {
+fn outgoing(core: &Core, template: &Template, sending: &Dispatch<'_>) -> outbound::Request {
     outbound::Request {
         method: template.method.clone(),
         path: template.path.clone(),
--- a/components/router/src/feed.rs
+++ b/components/router/src/feed.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 
 use clock::{Millis, Sleep};
-use edge::{Batch, Era, Fault, Revision, Store};
+use edge::{Batch, Era, Error, Revision, Store};
 use fleet::{Freshness, Source};
 use routing::{Event, Listing, RETURN};
 use spdlog::{info, warn};
@@ -162,7 +162,7 @@
             Err(fault) => {
                 self.failed(&fault);
                 // What has no history is there.
-                if fault != Fault::HistoryGone {
+                if fault != Error::HistoryGone {
                     self.core.fleet().store_failed(PAUSE, self.core.clock.now());
                 }
                 Millis::ZERO
@@ -171,7 +171,7 @@
     }
 
     /// Looks at the store once, and takes what it says.
-    async fn look(&mut self) -> Result<(), Fault> {
+    async fn look(&mut self) -> Result<(), Error> {
         let store = self.core.edges().store.clone();
         let revision = self.revision.filter(|_| !self.reads_anew);
         let whole = revision.is_none();
@@ -200,14 +200,14 @@
 
     /// What has changed since `revision`. A history that is long is not read, and holds nothing
     /// up: it is asked for less at once.
-    async fn changes(&mut self, store: &dyn Store, revision: Revision) -> Result<Batch, Fault> {
+    async fn changes(&mut self, store: &dyn Store, revision: Revision) -> Result<Batch, Error> {
         if !self.extent.is_narrow() {
             match store.watch(revision, WAIT).await {
-                Err(Fault::LongHistory) => self.extent.narrow(self.core.clock.now()),
+                Err(Error::LongHistory) => self.extent.narrow(self.core.clock.now()),
                 other => return other,
             }
         }
-        store.watch_less(revision, WAIT).await
+        store.catch_up(revision, WAIT).await
     }
 
     /// Takes what the store or another router told.
@@ -263,8 +263,8 @@
 
     /// A look failed. After a long outage, or where the store has no history,
     /// everything is read anew.
-    fn failed(&mut self, fault: &Fault) {
-        if *fault == Fault::HistoryGone {
+    fn failed(&mut self, fault: &Error) {
+        if *fault == Error::HistoryGone {
             info!("the store's history is gone; everything is read anew");
             self.reads_anew = true;
             return;
--- a/components/router/src/feed/facts.rs
+++ b/components/router/src/feed/facts.rs
@@ -44,7 +44,7 @@
             self.note(fact, &mut summary);
         }
         if whole {
-            self.core.fleet().roster().keep_only(&summary.routers);
+            self.core.fleet().roster().retain(&summary.routers);
         }
         self.meet_routers();
         let stored = summary.newest.as_ref().map(|it| it.generation);
@@ -91,7 +91,7 @@
     /// At the start, where parts were warm when that was last written down.
     fn recall_parts(&self, remembered: &[u8]) {
         let warm = memory::decode(remembered);
-        let parts: usize = warm.iter().map(|it| it.parts.len()).sum();
+        let parts: usize = warm.iter().map(|it| it.prefixes.len()).sum();
         if parts > 0 {
             info!("warm parts recalled", kv: { upstreams = warm.len(), parts });
         }
@@ -111,19 +111,19 @@
                 }
                 summary.changed |= self.listing.put(host, sequence);
             }
-            Fact::Gone(entry) => {
+            Fact::UpstreamRemoved(entry) => {
                 self.unreadable.remove(&entry);
                 summary.changed |= self.listing.remove(&entry);
             }
             Fact::UnreadableUpstream { entry, reason } => {
                 self.leave_unreadable(&entry, &reason, summary);
             }
-            Fact::Missing(entry) => self.listing.miss(&entry, self.returned()),
+            Fact::UpstreamMissing(entry) => self.listing.miss(&entry, self.returned()),
             Fact::Router(announcement) => {
                 summary.routers.insert(announcement.router.name.clone());
-                self.core.fleet().roster().put(announcement);
+                self.core.fleet().roster().insert(announcement);
             }
-            Fact::RouterGone(name) => {
+            Fact::RouterRemoved(name) => {
                 summary.routers.remove(&name);
                 self.core.fleet().roster().remove(&name);
             }
@@ -142,15 +142,15 @@
                     summary.newest = Some(document);
                 }
             }
-            Fact::Remembered(hosts) => summary.remembered = hosts,
-            Fact::RememberedParts(parts) => summary.parts = parts,
+            Fact::SavedHosts(hosts) => summary.remembered = hosts,
+            Fact::SavedPrefixes(parts) => summary.parts = parts,
             Fact::Crashes { router, crashes } => {
                 if router == self.core.settings.name {
                     self.core.crashes.recall(&crashes);
                 }
                 self.core.apply(Event::Crashes(crashes));
             }
-            Fact::CrashesGone(router) => {
+            Fact::CrashesRemoved(router) => {
                 if router == self.core.settings.name {
                     self.core.crashes.tell_again();
                 }
@@ -183,7 +183,7 @@
     /// Since when upstreams have had time to come back whose entries are missing now.
     pub(super) fn returned(&self) -> Millis {
         let proof = self.core.proof_ms().map(Millis);
-        self.freshness.returned(proof, self.core.clock.now())
+        self.freshness.grace_start(proof, self.core.clock.now())
     }
 
     /// Hands the upstreams to the reducer.
--- a/components/router/src/feed/others.rs
+++ b/components/router/src/feed/others.rs
@@ -27,10 +27,10 @@
         let proof = proof_ms.map(Millis).filter(|_| !fleet.follows());
         let left = self.listing.next_expiry().map(|at| asked.until(at));
         let wait = self.freshness.wait(proof, left);
-        let look = wire::Look {
+        let look = wire::Query {
             routers: fleet.named(asked),
             after: self.revision.map(hearing::told),
-            proof_ms,
+            confirmation_age_ms: proof_ms,
             wait_ms: wait.0,
         };
         let answer = self.core.hearing.ask(peer, look).await;
@@ -39,12 +39,12 @@
             Ok(Answer::News(news, facts, packed)) => self.hear(peer, news, facts, packed, asked),
             Ok(Answer::Refer(others)) => {
                 debug!("referred to others", kv: { peer = &*peer.name, others = others.len() });
-                self.core.fleet().sources().refer(&peer.name, others, now);
+                self.core.fleet().sources().record_referral(&peer.name, others, now);
             }
             Err(fault) => {
                 let reason = fault.to_string();
                 info!("another router tells nothing", kv: { peer = &*peer.name, reason });
-                self.core.fleet().sources().failed(&peer.name, now);
+                self.core.fleet().sources().record_failure(&peer.name, now);
             }
         }
         QUESTION_PAUSE
@@ -54,24 +54,26 @@
     fn hear(
         &mut self,
         peer: &Peer,
-        news: wire::News,
+        news: wire::Changes,
         facts: Vec<Fact>,
         packed: Bytes,
         asked: Millis,
     ) {
         let now = self.core.clock.now();
         let revision = telling::revision(news.revision);
-        if !self.may_take(revision, news.whole) {
-            return self.core.fleet().sources().stale(&peer.name, now);
+        if !self.may_take(revision, news.full) {
+            return self.core.fleet().sources().record_stale(&peer.name, now);
         }
         let starts = self.revision.is_none();
         let bytes = packed.len();
-        self.absorb(Batch { facts, revision, bytes, ..Batch::default() }, news.whole);
+        self.absorb(Batch { facts, revision, bytes, ..Batch::default() }, news.full);
         if starts {
             self.core.fleet().keep_packed(packed, now);
         }
         // The question came there after it was asked, and the answer began `held_ms` later.
-        let proof = news.proof_ms.map(|it| asked + Millis(news.held_ms) - Millis(it) - ROUNDING);
+        let proof = news
+            .confirmation_age_ms
+            .map(|it| asked + Millis(news.waited_ms) - Millis(it) - ROUNDING);
         if let Some(at) = proof.filter(|_| self.proves()) {
             self.core.apply(Event::ConfigurationConfirmed { at });
             // What changed meanwhile is known: there is no long history to be read.
@@ -81,10 +83,10 @@
         }
         let age = self.core.proof_ms().map(Millis);
         let mut sources = self.core.fleet().sources();
-        if self.freshness.is_old(age) {
-            sources.stale(&peer.name, now);
+        if self.freshness.is_stale(age) {
+            sources.record_stale(&peer.name, now);
         } else {
-            sources.served(&peer.name);
+            sources.record_success(&peer.name);
         }
         drop(sources);
         self.hears_from(Some(peer), age);
--- a/components/router/src/feed/start.rs
+++ b/components/router/src/feed/start.rs
@@ -31,7 +31,7 @@
             count = self.wait_for_followers(direct.strength, waited).await;
         }
         let own = &self.core.settings.name;
-        if count.is_none_or(|it| it == 0) || self.core.fleet().roster().announces(own) {
+        if count.is_none_or(|it| it == 0) || self.core.fleet().roster().is_announced(own) {
             self.core.fleet().follow();
         }
     }
@@ -62,12 +62,12 @@
 
     /// Reads who follows the store; returns how many do, or nothing where it does not answer.
     async fn announced(&mut self, old: bool) -> Option<usize> {
-        match self.core.edges().store.announced(old).await {
+        match self.core.edges().store.announcements(old).await {
             Ok(announced) => {
                 let count = announced.len();
                 let mut roster = self.core.fleet().roster();
                 for announcement in announced {
-                    roster.put(announcement);
+                    roster.insert(announcement);
                 }
                 Some(count)
             }
--- a/components/router/src/fleet.rs
+++ b/components/router/src/fleet.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use clock::Millis;
 use edge::{Announcement, Batch, Fact, Peer, Revision};
-use fleet::{Answers, Hearers, Mirror, Neighbours, Roster, Source, Sources};
+use fleet::{AnswerCache, Mirror, Neighbours, Roster, Source, Sources, Subscribers};
 use tokio::sync::watch;
 
 /// The other routers as this one sees them.
@@ -17,9 +17,9 @@
     mirror: RefCell<Mirror>,
     roster: RefCell<Roster>,
     sources: RefCell<Sources>,
-    hearers: RefCell<Hearers>,
+    hearers: RefCell<Subscribers>,
     source: RefCell<Option<Peer>>,
-    answers: RefCell<Answers>,
+    answers: RefCell<AnswerCache>,
     /// The most routers that were counted.
     most: Cell<usize>,
     /// How many connections of other routers stand.
@@ -35,7 +35,7 @@
     pub(crate) fn new(own: Peer, now: Millis) -> Self {
         Self {
             sources: RefCell::new(Sources::new(own.clone(), now)),
-            hearers: RefCell::new(Hearers::new(own.name.clone())),
+            hearers: RefCell::new(Subscribers::new(own.name.clone())),
             own,
             mirror: RefCell::default(),
             roster: RefCell::default(),
@@ -50,13 +50,13 @@
 
     /// Has this router follow the store.
     pub(crate) fn follow(&self) {
-        self.sources.borrow_mut().follow();
+        self.sources.borrow_mut().become_poller();
         self.follows.send_replace(true);
     }
 
     /// Whether this router follows the store.
     pub(crate) fn follows(&self) -> bool {
-        self.sources.borrow().follows()
+        self.sources.borrow().is_poller()
     }
 
     /// Tells when that changes.
@@ -66,7 +66,7 @@
 
     /// Decides whether this router follows the store. Returns whether that has changed.
     pub(crate) fn decide(&self, now: Millis) -> bool {
-        let changed = self.sources.borrow_mut().decide(&mut self.roster.borrow_mut(), now);
+        let changed = self.sources.borrow_mut().update_role(&mut self.roster.borrow_mut(), now);
         if changed {
             self.follows.send_replace(self.follows());
         }
@@ -76,7 +76,7 @@
     /// Where to look next.
     pub(crate) fn next(&self, now: Millis) -> Source {
         let hearers = self.hearers(now).into_iter().map(|it| it.name).collect();
-        self.sources.borrow_mut().hear(hearers);
+        self.sources.borrow_mut().set_subscribers(hearers);
         self.sources.borrow_mut().next(&mut self.roster.borrow_mut(), now)
     }
 
@@ -87,7 +87,7 @@
 
     /// The store answered. Returns whether this router follows it from now on.
     pub(crate) fn store_answered(&self, now: Millis) -> bool {
-        let begins = self.sources.borrow_mut().store_answered(now);
+        let begins = self.sources.borrow_mut().record_store_success(now);
         if begins {
             self.follows.send_replace(true);
         }
@@ -96,7 +96,7 @@
 
     /// The store did not answer; it may be asked again after `pause`.
     pub(crate) fn store_failed(&self, pause: Millis, now: Millis) {
-        self.sources.borrow_mut().store_failed(pause, &mut self.roster.borrow_mut(), now);
+        self.sources.borrow_mut().record_store_failure(pause, &mut self.roster.borrow_mut(), now);
     }
 
     /// Which routers there are.
@@ -110,7 +110,7 @@
         let known = roster.routers(now).cloned();
         let own = std::iter::once(self.own.clone()).chain(self.hearers(now));
         let routers: BTreeMap<_, _> = known.chain(own).map(|it| (it.name.clone(), it)).collect();
-        self.most.set(self.most.get().max(roster.most()).max(routers.len()));
+        self.most.set(self.most.get().max(roster.max_routers()).max(routers.len()));
         routers
     }
 
@@ -123,7 +123,7 @@
     /// store.
     pub(crate) fn writes(&self) -> bool {
         let roster = self.roster.borrow();
-        let first = roster.followers().map(|it| &it.name).min();
+        let first = roster.pollers().map(|it| &it.name).min();
         self.follows() && first.is_none_or(|it| *it >= self.own.name)
     }
 
@@ -136,7 +136,7 @@
     /// The routers that hear from this one, also by way of others.
     fn hearers(&self, now: Millis) -> Vec<Peer> {
         let mut hearers = self.hearers.borrow_mut();
-        hearers.forget(now);
+        hearers.expire(now);
         hearers.all()
     }
 
@@ -149,7 +149,7 @@
 
     /// Notes that a router asks, with those that hear from it. Returns whether it is answered.
     pub(crate) fn meet(&self, routers: Vec<Peer>, now: Millis) -> bool {
-        self.hearers.borrow_mut().meet(routers, now)
+        self.hearers.borrow_mut().register(routers, now)
     }
 
     /// From whom this router hears; `None` while it looks at the store.
@@ -161,16 +161,16 @@
     pub(crate) fn neighbours(&self, now: Millis) -> Neighbours {
         let source = self.source.borrow().clone();
         let mut hearers = self.hearers.borrow_mut();
-        hearers.forget(now);
+        hearers.expire(now);
         let hearers = hearers.direct().cloned().collect();
         let roster = self.roster.borrow();
         let is_other = |it: &&Peer| it.name != self.own.name;
         let followers = if self.follows() && source.is_none() {
-            roster.followers().filter(is_other).cloned().collect()
+            roster.pollers().filter(is_other).cloned().collect()
         } else {
             Vec::new()
         };
-        Neighbours { source, hearers, followers }
+        Neighbours { source, subscribers: hearers, pollers: followers }
     }
 
     /// The routers to which others are referred.
@@ -178,7 +178,7 @@
         self.hearers.borrow().relays().cloned().collect()
     }
 
-    /// Keeps what was learnt for others; see [`Mirror::take`].
+    /// Keeps what was learnt for others; see [`Mirror::apply`].
     pub(crate) fn learn(
         &self,
         batch: &Batch,
@@ -190,7 +190,7 @@
         if whole || !batch.facts.is_empty() {
             self.answers.borrow_mut().clear();
         }
-        self.mirror.borrow_mut().take(batch, whole, returns, doubted, now);
+        self.mirror.borrow_mut().apply(batch, whole, returns, doubted, now);
     }
 
     /// Wakes those that wait for news.
@@ -210,13 +210,13 @@
 
     /// Whether something has changed after `revision`.
     pub(crate) fn has_news(&self, revision: Revision) -> bool {
-        self.mirror.borrow().has_news(revision)
+        self.mirror.borrow().has_changes_since(revision)
     }
 
     /// What has changed after `after`, or everything where that is `None`.
     fn facts(&self, after: Option<Revision>, now: Millis) -> Vec<Fact> {
         let mirror = self.mirror.borrow();
-        if let Some(changes) = after.and_then(|it| mirror.since(it, now)) {
+        if let Some(changes) = after.and_then(|it| mirror.changes_since(it, now)) {
             return changes;
         }
         let mut facts = mirror.all(now);
@@ -244,7 +244,7 @@
         now: Millis,
     ) -> Result<(Bytes, bool), wire::Error> {
         let revision = self.position().unwrap_or_default();
-        let after = after.filter(|it| self.mirror.borrow().reaches(*it));
+        let after = after.filter(|it| self.mirror.borrow().covers(*it));
         let whole = after.is_none();
         let mut answers = self.answers.borrow_mut();
         if let Some(answer) = answers.get(after, revision, now) {
@@ -252,13 +252,13 @@
         }
         let facts = self.facts(after, now);
         let answer = if facts.is_empty() { Bytes::new() } else { wire::pack(&facts)? };
-        answers.keep(after, revision, answer.clone(), now);
+        answers.insert(after, revision, answer.clone(), now);
         Ok((answer, whole))
     }
 
     /// Counts what is held for other routers.
     pub(crate) fn tell_held(&self, metrics: &telemetry::Metrics) {
-        let (facts, removals) = self.mirror.borrow().kept();
+        let (facts, removals) = self.mirror.borrow().counts();
         metrics.held("facts", facts);
         metrics.held("removals", removals);
         metrics.held("answer_bytes", self.answers.borrow().bytes());
@@ -274,6 +274,6 @@
     /// Keeps everything as another router packed it, for others that ask for that.
     pub(crate) fn keep_packed(&self, facts: Bytes, now: Millis) {
         let Some(revision) = self.position().filter(|_| !self.follows()) else { return };
-        self.answers.borrow_mut().keep(None, revision, facts, now);
+        self.answers.borrow_mut().insert(None, revision, facts, now);
     }
 }
--- a/components/router/src/hearing.rs
+++ b/components/router/src/hearing.rs
@@ -9,7 +9,7 @@
 use edge::{Fact, Peer, Revision};
 use link::{Call, Connection};
 use snafu::{OptionExt, ResultExt, Snafu};
-use wire::{Frame, Hello, Look, News};
+use wire::{Changes, Frame, Hello, Query};
 
 /// How long a connection to another router may take to stand.
 const CONNECT: Duration = Duration::from_millis(400);
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub(crate) enum Answer {
     /// What it knows, and the same as it came.
-    News(News, Vec<Fact>, Bytes),
+    News(Changes, Vec<Fact>, Bytes),
     /// Others that may be asked; none where it knows nothing itself.
     Refer(Vec<Peer>),
 }
@@ -65,7 +65,7 @@
     ///
     /// It told nothing that can be used; its connection is given up, since one that has fallen
     /// silent stays so.
-    pub(crate) async fn ask(&self, peer: &Peer, look: Look) -> Result<Answer, Error> {
+    pub(crate) async fn ask(&self, peer: &Peer, look: Query) -> Result<Answer, Error> {
         let connection = self.connect(peer).await?;
         let answer = ask_on(&connection, look).await;
         if answer.is_err() {
@@ -89,17 +89,17 @@
     }
 }
 
-async fn ask_on(connection: &Connection, look: Look) -> Result<Answer, Error> {
-    let wait = Millis(look.wait_ms) + fleet::SILENCE;
+async fn ask_on(connection: &Connection, look: Query) -> Result<Answer, Error> {
+    let wait = Millis(look.wait_ms) + fleet::ANSWER_TIMEOUT;
     let begun = async {
-        let mut call = connection.call(&Frame::Look(look)).await?;
+        let mut call = connection.call(&Frame::Query(look)).await?;
         let head = call.next().await?;
         Ok((call, head))
     };
     let (mut call, head) = in_time(wait, begun).await?;
     match head {
-        Some(Frame::Refer(refer)) => Ok(Answer::Refer(refer.routers)),
-        Some(Frame::News(news)) => {
+        Some(Frame::Referral(refer)) => Ok(Answer::Refer(refer.routers)),
+        Some(Frame::Changes(news)) => {
             let bytes = rest(&mut call).await?;
             let facts = if bytes.is_empty() {
                 Vec::new()
--- a/components/router/src/hints.rs
+++ b/components/router/src/hints.rs
@@ -7,7 +7,7 @@
 use clock::Millis;
 use routing::{Crash, Event};
 use spdlog::{debug, info};
-use wire::{Ended, Frame, Loads, Reader, Warm};
+use wire::{Frame, Loads, Reader, UpstreamCrash, WarmPrefixes};
 
 use crate::core::Core;
 use crate::peers::{Peers, Tally};
@@ -87,7 +87,7 @@
     if peers.is_large() && heard.upstreams.is_empty() && !core.fleet().follows() {
         return;
     }
-    let bytes = peers.tell(Frame::Heard(heard), core.clock.now());
+    let bytes = peers.tell(Frame::Observations(heard), core.clock.now());
     core.metrics.control("heard", bytes);
 }
 
@@ -159,7 +159,7 @@
     let mut passes = None;
     loop {
         match reader.frame() {
-            Ok(Some(Frame::PassOn(hops))) => passes = Some(hops + 1),
+            Ok(Some(Frame::Forwarded(hops))) => passes = Some(hops + 1),
             Ok(Some(frame)) => {
                 if let Some(hops) = passes {
                     pass_on(core, &frame, hops, from);
@@ -184,8 +184,8 @@
 
 fn take_one(core: &Core, frame: Frame, from: SocketAddr) {
     match frame {
-        Frame::Warm(warm) => take_warm(core, warm),
-        Frame::Heard(heard) => {
+        Frame::WarmPrefixes(warm) => take_warm(core, warm),
+        Frame::Observations(heard) => {
             core.apply(Event::Observations(heard));
         }
         Frame::Loads(loads) => {
@@ -203,16 +203,16 @@
         Frame::Paces(paces) => {
             core.apply(Event::Paces(paces));
         }
-        Frame::Ended(ended) => take_ended(core, &ended, from),
+        Frame::UpstreamCrash(ended) => take_ended(core, &ended, from),
         Frame::Cleared(contents) => take_cleared(core, &contents, from),
         Frame::Claims(claims) => core.places.hear(core, &claims, from),
         Frame::Verdicts(verdicts) => core.places.take(core, &verdicts),
-        Frame::Short(short) => core.places.shorten(core, &short),
+        Frame::Saturated(short) => core.places.shorten(core, &short),
         _ => debug!("a datagram is no hint", kv: { from = from.to_string() }),
     }
 }
 
-fn take_warm(core: &Core, warm: Warm) {
+fn take_warm(core: &Core, warm: WarmPrefixes) {
     if let Some(peers) = core.peers() {
         peers.tally(&warm);
     }
@@ -220,7 +220,7 @@
 }
 
 /// Takes ends of an upstream from another router, as of now: its clock may differ.
-fn take_ended(core: &Core, ended: &Ended, from: SocketAddr) {
+fn take_ended(core: &Core, ended: &UpstreamCrash, from: SocketAddr) {
     let at = core.clock.now();
     let crash = |content: &u64| Crash {
         content: *content,
@@ -228,7 +228,7 @@
         at,
         cleared: false,
     };
-    let crashes: Vec<_> = ended.contents.iter().map(crash).collect();
+    let crashes: Vec<_> = ended.fingerprints.iter().map(crash).collect();
     info!("another router told of ends", kv: {
         upstream = &*ended.upstream,
         ends = crashes.len(),
--- a/components/router/src/ingress.rs
+++ b/components/router/src/ingress.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use edge::{Header, Intake, Part};
+use edge::{Header, Metadata, Prefix};
 use errors::{Answer, Kind};
 use futures_util::stream;
 use ntex::io::IoRef;
@@ -40,7 +40,7 @@
     core: Shared,
 ) -> HttpResponse {
     let headers = headers::collect(request.headers());
-    let intake = core.edges().dialect.read(&headers);
+    let intake = core.edges().dialect.parse_request(&headers);
     let (number, own_id) = core.number();
     let id = intake.id.clone().unwrap_or(own_id);
     let declared = edge::find(&headers, "content-length").and_then(|it| it.parse().ok());
@@ -74,12 +74,12 @@
     }
 }
 
-fn ask(number: u64, id: Arc<str>, content: u64, intake: &Intake, target: Target) -> Arrival {
+fn ask(number: u64, id: Arc<str>, content: u64, intake: &Metadata, target: Target) -> Arrival {
     Arrival {
         id: number,
         fingerprint: content,
-        chat: chat(&intake.prompt).unwrap_or_else(|| id.clone()),
-        prefixes: shared(&intake.prompt),
+        chat: chat(&intake.prefixes).unwrap_or_else(|| id.clone()),
+        prefixes: shared(&intake.prefixes),
         request: id,
         workspace: target.workspace,
         kind: target.kind,
@@ -92,16 +92,16 @@
 
 /// What keeps the requests together that share most of their prompt: the last
 /// part that is not of one request alone.
-fn chat(prompt: &[Part]) -> Option<Arc<str>> {
+fn chat(prompt: &[Prefix]) -> Option<Arc<str>> {
     let shared = prompt.len().checked_sub(2)?;
     Some(prompt[shared].id.clone())
 }
 
 /// The parts of the prompt that others may share, each with all before.
-fn shared(prompt: &[Part]) -> Vec<routing::Prefix> {
+fn shared(prompt: &[Prefix]) -> Vec<routing::Prefix> {
     let parts = prompt.split_last().map_or(prompt, |(_, shared)| shared);
     let start = routing::Prefix { hash: 0, tokens: 0 };
-    let join = |before: &mut routing::Prefix, part: &Part| {
+    let join = |before: &mut routing::Prefix, part: &Prefix| {
         let hash = placement::key(&before.hash.to_string(), &part.id);
         *before = routing::Prefix { hash, tokens: before.tokens.saturating_add(part.tokens) };
         Some(*before)
@@ -117,7 +117,7 @@
 /// An answer of the fleet's own.
 fn failure(core: &Core, answer: &Answer) -> HttpResponse {
     let mut builder = answer::error(answer);
-    for (name, value) in core.edges().dialect.own(&answer.request_id) {
+    for (name, value) in core.edges().dialect.response_headers(&answer.request_id) {
         builder.header(&*name, &*value);
     }
     if let Some(after) = answer.retry_after_ms {
--- a/components/router/src/memory.rs
+++ b/components/router/src/memory.rs
@@ -12,7 +12,7 @@
 use routing::{Host, Listing};
 use spdlog::{info, warn};
 use tokio::sync::watch;
-use wire::{Frame, Reader, Warm};
+use wire::{Frame, Reader, WarmPrefixes};
 
 use crate::core::Core;
 
@@ -83,7 +83,7 @@
     while hosts.changed().await.is_ok() {
         let known = hosts.borrow_and_update().clone();
         let upstreams = known.len();
-        match core.edges().store.remember(known).await {
+        match core.edges().store.save_hosts(known).await {
             Ok(()) => info!("upstreams remembered", kv: { upstreams }),
             // The next change is written again.
             Err(fault) => warn!("upstreams not remembered", kv: { reason = fault.to_string() }),
@@ -106,7 +106,7 @@
         if known == written || warm.is_empty() {
             continue;
         }
-        match store.remember_parts(encode(warm)).await {
+        match store.save_prefixes(encode(warm)).await {
             Ok(()) => written = known,
             Err(fault) => warn!("parts not remembered", kv: { reason = fault.to_string() }),
         }
@@ -114,17 +114,17 @@
 }
 
 /// Warm parts as they are remembered: one frame for each upstream.
-fn encode(warm: Vec<Warm>) -> Bytes {
-    let frames = warm.into_iter().filter_map(|it| wire::encode(&Frame::Warm(it)).ok());
+fn encode(warm: Vec<WarmPrefixes>) -> Bytes {
+    let frames = warm.into_iter().filter_map(|it| wire::encode(&Frame::WarmPrefixes(it)).ok());
     frames.flatten().collect()
 }
 
 /// Reads what [`encode`] wrote, as far as it can be read.
-pub(crate) fn decode(bytes: &[u8]) -> Vec<Warm> {
+pub(crate) fn decode(bytes: &[u8]) -> Vec<WarmPrefixes> {
     let mut reader = Reader::default();
     reader.push(bytes);
     let next = || match reader.frame() {
-        Ok(Some(Frame::Warm(warm))) => Some(warm),
+        Ok(Some(Frame::WarmPrefixes(warm))) => Some(warm),
         _ => None,
     };
     std::iter::from_fn(next).collect()
--- a/components/router/src/peers.rs
+++ b/components/router/src/peers.rs
@@ -16,10 +16,10 @@
 use bytes::Bytes;
 use clock::Millis;
 use edge::Peer;
-use fleet::{Neighbours, Origin, Spread};
+use fleet::{Gossip, Neighbours, Origin};
 use spdlog::{debug, info, warn};
 use tokio::sync::Notify;
-use wire::{Frame, Stage, Warm};
+use wire::{Frame, Stage, WarmPrefixes};
 
 /// The most other routers that each router tells of its hints by itself: what all tell all grows
 /// with the square of their number.
@@ -38,7 +38,7 @@
     /// The names of the others, by their addresses.
     names: RefCell<HashMap<SocketAddr, Arc<str>>>,
     /// Hints that go to neighbours, where there are too many routers to tell all.
-    spread: RefCell<Spread>,
+    spread: RefCell<Gossip>,
     to_spread: Notify,
     tally: Cell<Tally>,
 }
@@ -184,13 +184,13 @@
     }
 
     /// Counts a hint that was taken.
-    pub(crate) fn tally(&self, warm: &Warm) {
+    pub(crate) fn tally(&self, warm: &WarmPrefixes) {
         let mut tally = self.tally.get();
         match warm.stage {
-            Stage::Reading => tally.reading += 1,
-            Stage::Read => tally.read += 1,
+            Stage::Prefilling => tally.reading += 1,
+            Stage::Cached => tally.read += 1,
         }
-        tally.parts += warm.parts.len();
+        tally.parts += warm.prefixes.len();
         self.tally.set(tally);
     }
 
--- a/components/router/src/places.rs
+++ b/components/router/src/places.rs
@@ -12,7 +12,7 @@
 use routing::Event;
 use spdlog::{debug, info};
 use tokio::sync::{Notify, oneshot};
-use wire::{Claim, Claims, Finish, Frame, Short, Turn, Verdict, Verdicts};
+use wire::{Claim, ClaimState, Claims, Finish, Frame, Saturated, Verdict, Verdicts};
 
 use crate::core::Core;
 
@@ -52,7 +52,7 @@
 
 impl Owned {
     /// What all are to be told of the pool, if that is due.
-    fn short(&mut self, core: &Core, pool: &Arc<str>, now: Millis) -> Option<Short> {
+    fn short(&mut self, core: &Core, pool: &Arc<str>, now: Millis) -> Option<Saturated> {
         let is_over = self.ledger.has_recovered(now);
         let ends = is_over && self.over.is_none();
         if is_over != self.over.is_some() {
@@ -65,11 +65,11 @@
         }
         self.told = Some(now);
         let lasts = if is_over { Millis::ZERO } else { LASTS };
-        Some(Short {
+        Some(Saturated {
             pool: pool.clone(),
             owner: core.settings.name.clone(),
             rate: self.ledger.snapshot(now).rate,
-            lasts_ms: u32::try_from(lasts.0).unwrap_or(u32::MAX),
+            ttl_ms: u32::try_from(lasts.0).unwrap_or(u32::MAX),
         })
     }
 }
@@ -137,16 +137,16 @@
     }
 
     /// A pool is short, or is no more.
-    pub(crate) fn shorten(&self, core: &Core, short: &Short) {
+    pub(crate) fn shorten(&self, core: &Core, short: &Saturated) {
         let is_owner = short.owner == self.owner(core, &short.pool).name;
         // An earlier owner does not end what a later one goes on with.
-        if short.lasts_ms == 0 && !is_owner {
+        if short.ttl_ms == 0 && !is_owner {
             return;
         }
         if is_owner {
             self.requester(core, &short.pool, |requester| requester.receive_saturation(short));
         }
-        let lasts = Millis(u64::from(short.lasts_ms)).min(LASTS);
+        let lasts = Millis(u64::from(short.ttl_ms)).min(LASTS);
         core.apply(Event::Saturated { pool: short.pool.clone(), duration: lasts });
     }
 
@@ -254,7 +254,7 @@
         let now = core.clock.now();
         let told = {
             let mut owned = self.owned.borrow_mut();
-            if !owned.contains_key(&claims.pool) && claims.asks.is_empty() && !is_start(claims) {
+            if !owned.contains_key(&claims.pool) && claims.claims.is_empty() && !is_start(claims) {
                 // What is left over from a time in which the pool was short.
                 return;
             }
@@ -267,7 +267,7 @@
             if let Some(from) = from {
                 owned.routers.insert(claims.router.clone(), from);
             }
-            if claims.asks.is_empty() && is_start(claims) {
+            if claims.claims.is_empty() && is_start(claims) {
                 owned.ledger.mark_saturated(now);
             }
             owned.ledger.receive(claims, now)
@@ -288,17 +288,17 @@
         let is_done = owned.over.is_some_and(|it| it.until(now) >= LASTS);
         drop(ledgers);
         if let Some(short) = short {
-            if short.lasts_ms == 0 {
+            if short.ttl_ms == 0 {
                 info!("pool is short of places no more", kv: { pool = &**pool });
             }
             self.shorten(core, &short);
-            let bytes = core.peers().map_or(0, |it| it.tell(Frame::Short(short), now));
+            let bytes = core.peers().map_or(0, |it| it.tell(Frame::Saturated(short), now));
             core.metrics.control("short", bytes);
         }
         let mut told: BTreeMap<Arc<str>, Vec<Verdict>> = BTreeMap::new();
         for line in lines {
             log(core, pool, &line);
-            let verdict = Verdict { number: line.number, turn: line.turn };
+            let verdict = Verdict { number: line.number, state: line.turn };
             told.entry(line.router).or_default().push(verdict);
         }
         for (router, verdicts) in told {
@@ -341,19 +341,19 @@
 fn log(core: &Core, pool: &Arc<str>, line: &Decision) {
     let (router, workspace, waited_ms) = (&*line.router, &*line.workspace, line.waited.0);
     match &line.turn {
-        Turn::Granted(upstream) => {
+        ClaimState::Granted(upstream) => {
             core.metrics.belief("place_granted");
             info!("place granted", kv: {
                 pool = &**pool, router, number = line.number, workspace, upstream = &**upstream, waited_ms,
             });
         }
-        Turn::Refused(back_ms) => {
+        ClaimState::Refused(back_ms) => {
             core.metrics.belief("place_refused");
             info!("place refused", kv: {
                 pool = &**pool, router, number = line.number, workspace, waited_ms, back_ms = *back_ms,
             });
         }
-        Turn::Waits => {}
+        ClaimState::Queued => {}
     }
 }
 
--- a/components/router/src/reach.rs
+++ b/components/router/src/reach.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use edge::{Connect, Edges};
+use edge::{Adapter, Connect};
 use outbound::Client;
 use spdlog::error;
 
@@ -15,7 +15,7 @@
 
 /// What reaches the platform and upstreams directly.
 pub(crate) struct Direct {
-    pub edges: Edges,
+    pub edges: Adapter,
     /// Reaches upstreams.
     pub client: Client,
     /// The other routers, where hints are exchanged with them.
--- a/components/router/src/server.rs
+++ b/components/router/src/server.rs
@@ -147,7 +147,7 @@
         .listen("operators", operators, async move |service| {
             service.config(operators_config.clone());
             let core = for_operators.core().await;
-            let ready = core.edges().ready;
+            let ready = core.edges().ready_path;
             let pages = move |config: &mut _| ingress::operators(config, ready);
             HttpService::new(web::App::new().state(core).configure(pages))
         })
--- a/components/router/src/target.rs
+++ b/components/router/src/target.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use edge::Intake;
+use edge::Metadata;
 use errors::Kind;
 use ntex::web::HttpRequest;
 
@@ -28,7 +28,11 @@
     ///
     /// The refusal; a configuration that may be out of date does not show that
     /// something is unknown.
-    pub(crate) fn find(core: &Core, request: &HttpRequest, intake: &Intake) -> Result<Self, Kind> {
+    pub(crate) fn find(
+        core: &Core,
+        request: &HttpRequest,
+        intake: &Metadata,
+    ) -> Result<Self, Kind> {
         let plan = core.plan().ok_or(Kind::NoConfiguration)?;
         let unknown = |kind| if core.knows_all() { kind } else { Kind::StaleConfiguration };
         let host = host(request);
--- a/components/router/src/telling.rs
+++ b/components/router/src/telling.rs
@@ -10,7 +10,7 @@
 use spdlog::{debug, error, info};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinSet;
-use wire::{Chunk, Frame, Look, News, Refer, Status, Welcome};
+use wire::{Changes, Chunk, Frame, Query, Referral, Status, Welcome};
 
 use crate::core::Core;
 
@@ -69,7 +69,7 @@
 
 async fn answer(core: Rc<Core>, exchange: Exchange) {
     let Exchange { frame, mut sink } = exchange;
-    let Frame::Look(look) = frame else { return sink.reset() };
+    let Frame::Query(look) = frame else { return sink.reset() };
     let asks = look.routers.first().map(|it| it.name.clone()).unwrap_or_default();
     let told = if core.fleet().meet(look.routers.clone(), core.clock.now()) {
         tell(&core, &look, &mut sink).await
@@ -83,11 +83,11 @@
 
 /// Names others that may be asked.
 async fn refer(routers: Vec<Peer>, sink: &mut Sink) -> Result<(), link::Error> {
-    sink.finish(&Frame::Refer(Refer { routers })).await
+    sink.finish(&Frame::Referral(Referral { routers })).await
 }
 
 /// Tells what has changed, as soon as there is something or the proof is newer than the other's.
-async fn tell(core: &Core, look: &Look, sink: &mut Sink) -> Result<(), link::Error> {
+async fn tell(core: &Core, look: &Query, sink: &mut Sink) -> Result<(), link::Error> {
     let asked = core.clock.now();
     let after = look.after.map(revision);
     let until = asked + Millis(look.wait_ms).min(LONGEST_WAIT);
@@ -121,18 +121,18 @@
         info!("another router gets all that is known", kv: { peer, bytes = facts.len() });
     }
     let position = core.fleet().position().unwrap_or_default();
-    let head = News {
+    let head = Changes {
         revision: wire::Revision { era: position.era.0, number: position.number },
-        whole,
-        held_ms: asked.until(now).0,
-        proof_ms: core.proof_ms(),
+        full: whole,
+        waited_ms: asked.until(now).0,
+        confirmation_age_ms: core.proof_ms(),
     };
     core.metrics.control("told", facts.len());
     send(sink, head, facts).await
 }
 
 /// Whether there is something that the router that asks lacks.
-fn is_worth_telling(core: &Core, look: &Look, after: Option<Revision>, asked: Millis) -> bool {
+fn is_worth_telling(core: &Core, look: &Query, after: Option<Revision>, asked: Millis) -> bool {
     let Some(position) = core.fleet().position() else { return false };
     let Some(after) = after else { return true };
     if position.era != after.era {
@@ -141,7 +141,7 @@
     if position.number < after.number {
         return false;
     }
-    let theirs = look.proof_ms.map(|it| Millis(it) + asked.until(core.clock.now()));
+    let theirs = look.confirmation_age_ms.map(|it| Millis(it) + asked.until(core.clock.now()));
     let ours = core.proof_ms().map(Millis);
     let is_newer = ours.is_some_and(|ours| theirs.is_none_or(|theirs| ours + NEWER < theirs));
     is_newer || core.fleet().has_news(after)
@@ -154,11 +154,11 @@
     after.is_some_and(|after| order(position) < order(after))
 }
 
-async fn send(sink: &mut Sink, head: News, mut facts: Bytes) -> Result<(), link::Error> {
+async fn send(sink: &mut Sink, head: Changes, mut facts: Bytes) -> Result<(), link::Error> {
     if facts.is_empty() {
-        return sink.finish(&Frame::News(head)).await;
+        return sink.finish(&Frame::Changes(head)).await;
     }
-    sink.send(&Frame::News(head)).await?;
+    sink.send(&Frame::Changes(head)).await?;
     let mut sequence = 0;
     while !facts.is_empty() {
         let bytes = facts.split_to(CHUNK.min(facts.len()));
--- a/components/routing/src/admission/shares.rs
+++ b/components/routing/src/admission/shares.rs
@@ -169,7 +169,7 @@
     /// Takes what another router tells of a pool that is short.
     pub(crate) fn receive_demands(&mut self, demands: Demands, now: Millis) -> Vec<Effect> {
         if self.shares_out() {
-            self.shares.pool(&demands.pool).receive(&demands.router, demands.word, now);
+            self.shares.pool(&demands.pool).receive(&demands.router, demands.summary, now);
         }
         Vec::new()
     }
@@ -178,7 +178,7 @@
     pub fn demands(&self, router: &Arc<str>, now: Millis) -> Vec<Demands> {
         let told = |(pool, shares): (&Arc<str>, &Pool)| {
             let word = shares.summarize(now)?;
-            Some(Demands { router: router.clone(), pool: pool.clone(), word })
+            Some(Demands { router: router.clone(), pool: pool.clone(), summary: word })
         };
         self.shares.pools.iter().filter_map(told).collect()
     }
--- a/components/routing/src/beliefs/loads.rs
+++ b/components/routing/src/beliefs/loads.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use clock::Millis;
-use wire::{Heard, Load, Loads, Outcome, Told};
+use wire::{Load, Loads, Observation, Observations, Outcome};
 
 use crate::Effect;
 use crate::beliefs::outlook;
@@ -91,7 +91,7 @@
     }
 
     /// Takes what answers told another router.
-    pub(crate) fn hear_others(&mut self, heard: &Heard, now: Millis) {
+    pub(crate) fn hear_others(&mut self, heard: &Observations, now: Millis) {
         self.note_current(heard.current, now);
         self.peers.heard = Some(now);
         for told in &heard.upstreams {
@@ -107,7 +107,7 @@
     pub(crate) fn hear_outcomes(&mut self, outcomes: &[Outcome], now: Millis) -> Vec<Effect> {
         for told in outcomes {
             if let Some(upstream) = self.upstreams.get_mut(&told.upstream) {
-                upstream.health.hear(told.good, told.bad, now);
+                upstream.health.hear(told.successes, told.failures, now);
             }
         }
         Vec::new()
@@ -117,20 +117,20 @@
     pub fn outcomes(&mut self) -> Vec<Outcome> {
         let told = |it: &mut Upstream| {
             let (good, bad) = it.health.tell()?;
-            Some(Outcome { upstream: it.name().clone(), good, bad })
+            Some(Outcome { upstream: it.name().clone(), successes: good, failures: bad })
         };
         self.upstreams.values_mut().filter_map(told).take(MOST_TOLD).collect()
     }
 
     /// What answers have told this router since it was asked last, for the others.
-    pub fn heard(&mut self, now: Millis) -> Heard {
+    pub fn heard(&mut self, now: Millis) -> Observations {
         let told = |it: &mut Upstream| {
             let (requests, waiting, at) = it.heard_load.take()?;
             let age_ms = at.until(now).0;
-            Some(Told { upstream: it.name().clone(), requests, waiting, age_ms })
+            Some(Observation { upstream: it.name().clone(), requests, waiting, age_ms })
         };
         let current = self.knows_newest(now);
-        Heard {
+        Observations {
             current,
             upstreams: self.upstreams.values_mut().filter_map(told).take(MOST_TOLD).collect(),
         }
--- a/components/routing/src/effect.rs
+++ b/components/routing/src/effect.rs
@@ -4,7 +4,7 @@
 
 use clock::Millis;
 use errors::{Answer, Kind};
-use wire::{Claim, Finish, Head, Note, Warm};
+use wire::{Claim, DirectoryUpdate, Finish, Head, WarmPrefixes};
 
 use crate::{Crash, Decision, Owner};
 
@@ -41,10 +41,10 @@
         /// The address of its sidecar.
         address: Arc<str>,
         /// What to tell.
-        note: Note,
+        note: DirectoryUpdate,
     },
     /// Tell the other routers where parts of prompts are warm.
-    PublishPrefixes(Warm),
+    PublishPrefixes(WarmPrefixes),
     /// Close the connections to an upstream that wait for a request.
     CloseIdle {
         /// Its address.
--- a/components/routing/src/event.rs
+++ b/components/routing/src/event.rs
@@ -7,8 +7,8 @@
 use intents::{Labels, Plan};
 use serde::{Deserialize, Serialize};
 use wire::{
-    Admitted, Broken, Chunk, Delay, Demands, End, Frame, Head, Heard, Loads, Outcome, Refused,
-    Warm, Welcome,
+    Admitted, Broken, Chunk, Delay, Demands, End, Frame, Head, Loads, Observations, Outcome,
+    Refused, WarmPrefixes, Welcome,
 };
 
 use crate::{Check, Crash, Settings};
@@ -166,11 +166,11 @@
     /// Another router told how fast upstreams said that they were.
     Paces(Vec<wire::Pace>),
     /// Another router told where parts of prompts are warm.
-    WarmPrefixes(Warm),
+    WarmPrefixes(WarmPrefixes),
     /// Another router told its own load.
     Loads(Loads),
     /// Another router told what answers told it of loads.
-    Observations(Heard),
+    Observations(Observations),
     /// Another router told how its requests ended.
     Outcomes(Vec<Outcome>),
     /// Another router told how long its requests waited.
@@ -303,23 +303,23 @@
             | Frame::Open(_)
             | Frame::Report(_)
             | Frame::Pool(_)
-            | Frame::Note(_)
-            | Frame::Warm(_)
+            | Frame::DirectoryUpdate(_)
+            | Frame::WarmPrefixes(_)
             | Frame::Loads(_)
-            | Frame::Heard(_)
+            | Frame::Observations(_)
             | Frame::Delays(_)
             | Frame::Demands(_)
-            | Frame::Ended(_)
-            | Frame::Look(_)
-            | Frame::News(_)
-            | Frame::Refer(_)
-            | Frame::PassOn(_)
+            | Frame::UpstreamCrash(_)
+            | Frame::Query(_)
+            | Frame::Changes(_)
+            | Frame::Referral(_)
+            | Frame::Forwarded(_)
             | Frame::Outcomes(_)
             | Frame::Paces(_)
             | Frame::Cleared(_)
             | Frame::Claims(_)
             | Frame::Verdicts(_)
-            | Frame::Short(_) => Self::Unexpected,
+            | Frame::Saturated(_) => Self::Unexpected,
         }
     }
 }
--- a/components/routing/src/requests/permits.rs
+++ b/components/routing/src/requests/permits.rs
@@ -126,7 +126,7 @@
         let claim = Claim {
             number,
             workspace: request.arrival.workspace.clone(),
-            content: request.arrival.fingerprint,
+            fingerprint: request.arrival.fingerprint,
             urgency: request.priority,
             repeatable: request.repeatable,
             objective_ms,
--- a/components/routing/src/requests/reply.rs
+++ b/components/routing/src/requests/reply.rs
@@ -5,7 +5,7 @@
 use clock::Millis;
 use errors::{Kind, Outcome};
 use placement::key;
-use wire::{Broken, Chunk, End, Head, Note, Refused, Stage, Status};
+use wire::{Broken, Chunk, DirectoryUpdate, End, Head, Refused, Stage, Status};
 
 use crate::requests::request::{Phase, Request};
 use crate::selection::prefixes::share;
@@ -96,7 +96,7 @@
         Some(Effect::UpdateDirectory {
             upstream: home.clone(),
             address: upstream.host.address.clone(),
-            note: Note { chat, upstream: served.clone() },
+            note: DirectoryUpdate { chat, upstream: served.clone() },
         })
     }
 
@@ -135,7 +135,7 @@
         let mut effects = vec![Effect::Head(head)];
         if let Some(upstream) = request.upstream().cloned() {
             let parts = self.warmth.read(&request.arrival.prefix_hashes(), &upstream);
-            effects.extend(share(&upstream, parts, Stage::Read));
+            effects.extend(share(&upstream, parts, Stage::Cached));
             self.alive(&upstream);
         }
         self.record_answer_start(id, now);
--- a/components/routing/src/selection/prefixes.rs
+++ b/components/routing/src/selection/prefixes.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use clock::Millis;
-use wire::{Stage, Warm};
+use wire::{Stage, WarmPrefixes};
 
 use crate::requests::request::{Phase, Request};
 use crate::state::State;
@@ -34,29 +34,30 @@
 /// Tells the other routers of `parts`, if there are any.
 pub(crate) fn share(upstream: &Arc<str>, mut parts: Vec<u64>, stage: Stage) -> Option<Effect> {
     parts.truncate(MAX_TOLD);
-    let warm = Warm { upstream: upstream.clone(), parts, stage };
-    (!warm.parts.is_empty()).then_some(Effect::PublishPrefixes(warm))
+    let warm = WarmPrefixes { upstream: upstream.clone(), prefixes: parts, stage };
+    (!warm.prefixes.is_empty()).then_some(Effect::PublishPrefixes(warm))
 }
 
 impl State {
     /// Takes another router's word on an upstream.
-    pub(crate) fn receive_prefixes(&mut self, warm: &Warm, now: Millis) -> Vec<Effect> {
+    pub(crate) fn receive_prefixes(&mut self, warm: &WarmPrefixes, now: Millis) -> Vec<Effect> {
         if !self.upstreams.contains_key(&warm.upstream) {
             return Vec::new();
         }
         match warm.stage {
-            Stage::Reading => self.warmth.begin(&warm.parts, &warm.upstream, now),
-            Stage::Read => self.warmth.read(&warm.parts, &warm.upstream),
+            Stage::Prefilling => self.warmth.begin(&warm.prefixes, &warm.upstream, now),
+            Stage::Cached => self.warmth.read(&warm.prefixes, &warm.upstream),
         };
         Vec::new()
     }
 
     /// What is known of warm parts at the upstreams there are, for routers that start,
     /// and how often it has changed.
-    pub fn warm_prefixes(&self) -> (u64, Vec<Warm>) {
+    pub fn warm_prefixes(&self) -> (u64, Vec<WarmPrefixes>) {
         let mut held = self.warmth.latest(MOST_REMEMBERED);
         held.retain(|upstream, _| self.upstreams.contains_key(upstream));
-        let warm = |(upstream, parts)| Warm { upstream, parts, stage: Stage::Read };
+        let warm =
+            |(upstream, parts)| WarmPrefixes { upstream, prefixes: parts, stage: Stage::Cached };
         (self.warmth.changes(), held.into_iter().map(warm).collect())
     }
 
@@ -106,6 +107,6 @@
             return None;
         }
         let parts = self.warmth.begin(&request.arrival.prefix_hashes(), upstream, now);
-        share(upstream, parts, Stage::Reading)
+        share(upstream, parts, Stage::Prefilling)
     }
 }
--- a/components/routing/tests/direct/health.rs
+++ b/components/routing/tests/direct/health.rs
@@ -24,7 +24,7 @@
 }
 
 fn outcome(upstream: &str, good: u32, bad: u32) -> Outcome {
-    Outcome { upstream: upstream.into(), good, bad }
+    Outcome { upstream: upstream.into(), successes: good, failures: bad }
 }
 
 /// Where a request of the chat goes at `now`, if told outcomes are these.
--- a/components/routing/tests/direct/loads.rs
+++ b/components/routing/tests/direct/loads.rs
@@ -5,7 +5,7 @@
 use clock::Millis;
 use errors::Kind;
 use routing::{Bound, Event, Settings, State};
-use wire::{Heard, Load, Loads, Told};
+use wire::{Load, Loads, Observation, Observations};
 
 use crate::fleet::{NOW, ask, failed, retry_after, router, sent, settings};
 
@@ -81,8 +81,8 @@
 #[test]
 fn what_answers_told_another_router_counts_by_its_age() {
     let told = |requests, age_ms| {
-        let told = Told { upstream: first(), requests, waiting: 0, age_ms };
-        Event::Observations(Heard { current: true, upstreams: vec![told] })
+        let told = Observation { upstream: first(), requests, waiting: 0, age_ms };
+        Event::Observations(Observations { current: true, upstreams: vec![told] })
     };
     // The floor of the bound is four requests.
     let mut state = fleet();
@@ -99,7 +99,7 @@
     let mut state = fleet();
     assert_eq!(state.heard(NOW).upstreams, []);
     state.apply(Event::Load { upstream: first(), requests: 3, waiting: 1 }, NOW);
-    let told = Told { upstream: first(), requests: 3, waiting: 1, age_ms: 70 };
+    let told = Observation { upstream: first(), requests: 3, waiting: 1, age_ms: 70 };
     assert_eq!(state.heard(NOW + Millis(70)).upstreams, [told]);
     assert_eq!(state.heard(NOW + Millis(70)).upstreams, []);
 }
@@ -109,7 +109,7 @@
     let after = |current| {
         let mut state = fleet();
         let later = NOW + Millis(3_100);
-        let heard = Heard { current, upstreams: Vec::new() };
+        let heard = Observations { current, upstreams: Vec::new() };
         state.apply(Event::Observations(heard), later);
         let effects = state.apply(ask(1, "safe", "r-1"), later);
         assert_eq!(failed(&effects), Some(Kind::StaleConfiguration));
@@ -139,14 +139,14 @@
     // four and a half, and the bound leaves no room for a tenth.
     for round in 0..40 {
         let at = NOW + Millis(100 * round);
-        let told = |upstream: &Arc<str>| Told {
+        let told = |upstream: &Arc<str>| Observation {
             upstream: upstream.clone(),
             requests: 9,
             waiting: 0,
             age_ms: 0,
         };
         let upstreams = vec![told(&first), told(&second)];
-        state.apply(Event::Observations(Heard { current: true, upstreams }), at);
+        state.apply(Event::Observations(Observations { current: true, upstreams }), at);
     }
     assert_ne!(place(&mut state, 1, NOW + Millis(3_900)), first);
 }
--- a/components/routing/tests/direct/rooms.rs
+++ b/components/routing/tests/direct/rooms.rs
@@ -5,7 +5,7 @@
 
 use clock::Millis;
 use routing::{Bound, Event, Mechanisms, Settings, State};
-use wire::{Heard, Told};
+use wire::{Observation, Observations};
 
 use crate::fleet::{NOW, ask, engines, evacuated, failed, members, router, sent, settings};
 
@@ -30,13 +30,13 @@
 
 /// What answers told all routers of the engines.
 fn heard(loads: &BTreeMap<Arc<str>, u64>) -> Event {
-    let told = |(upstream, load): (&Arc<str>, &u64)| Told {
+    let told = |(upstream, load): (&Arc<str>, &u64)| Observation {
         upstream: upstream.clone(),
         requests: *load,
         waiting: 0,
         age_ms: 0,
     };
-    Event::Observations(Heard { current: true, upstreams: loads.iter().map(told).collect() })
+    Event::Observations(Observations { current: true, upstreams: loads.iter().map(told).collect() })
 }
 
 /// Loads of the engines that take something.
--- a/components/routing/tests/direct/shares.rs
+++ b/components/routing/tests/direct/shares.rs
@@ -198,7 +198,7 @@
         demands: lines,
         ..Default::default()
     };
-    let demands = Demands { router: "front-2".into(), pool: "engine".into(), word };
+    let demands = Demands { router: "front-2".into(), pool: "engine".into(), summary: word };
     state.apply(Event::Demands(demands), NOW);
     state
 }
@@ -287,7 +287,7 @@
             wait_at_all(&mut state, FULL);
             refused(&mut state, 100..100 + hot, "hot");
             let word = shares::Summary { at: NOW, saturated: true, demands: lines.clone(), ..Default::default() };
-            let demands = Demands { router: "front-2".into(), pool: "engine".into(), word };
+            let demands = Demands { router: "front-2".into(), pool: "engine".into(), summary: word };
             state.apply(Event::Demands(demands), LATER);
             wait_at_all(&mut state, waiting);
             sent(&state.apply(asked(1, "small"), LATER))
--- a/components/routing/tests/direct/stopping.rs
+++ b/components/routing/tests/direct/stopping.rs
@@ -3,7 +3,7 @@
 use clock::Millis;
 use errors::Kind;
 use routing::{Effect, Event, Reply, State};
-use wire::{Chunk, End, Head, Heard, Status};
+use wire::{Chunk, End, Head, Observations, Status};
 
 use crate::fleet::{NOW, ask, failed, router, sent, settings};
 
@@ -80,6 +80,6 @@
 fn callers_are_sent_to_other_routers_at_once_if_there_are_any() {
     let mut state = stopping();
     assert_eq!(state.retry_after_ms(Kind::Draining, NOW), 250);
-    state.apply(Event::Observations(Heard { current: true, upstreams: Vec::new() }), NOW);
+    state.apply(Event::Observations(Observations { current: true, upstreams: Vec::new() }), NOW);
     assert_eq!(state.retry_after_ms(Kind::Draining, NOW), 50);
 }
--- a/components/routing/tests/direct/warmth.rs
+++ b/components/routing/tests/direct/warmth.rs
@@ -5,7 +5,7 @@
 use crate::fleet::{NOW, asked, asked_long, engines_with, router, sent, settings};
 use clock::Millis;
 use routing::{Effect, Event, Reply, State};
-use wire::{Head, Stage, Warm};
+use wire::{Head, Stage, WarmPrefixes};
 
 /// The parts that the requests share.
 const PARTS: [u64; 2] = [11, 12];
@@ -20,7 +20,7 @@
 }
 
 /// What the effects tell the other routers.
-fn shared(effects: &[Effect]) -> Option<Warm> {
+fn shared(effects: &[Effect]) -> Option<WarmPrefixes> {
     effects.iter().find_map(|it| match it {
         Effect::PublishPrefixes(warm) => Some(warm.clone()),
         _ => None,
@@ -44,9 +44,10 @@
     let mut state = router(settings());
     let effects = ask(&mut state, 1, NOW);
     let upstream = sent(&effects).expect("a place");
-    let told = |stage| Some(Warm { upstream: upstream.clone(), parts: PARTS.to_vec(), stage });
-    assert_eq!(shared(&effects), told(Stage::Reading));
-    assert_eq!(shared(&head(&mut state, 1, NOW)), told(Stage::Read));
+    let told =
+        |stage| Some(WarmPrefixes { upstream: upstream.clone(), prefixes: PARTS.to_vec(), stage });
+    assert_eq!(shared(&effects), told(Stage::Prefilling));
+    assert_eq!(shared(&head(&mut state, 1, NOW)), told(Stage::Cached));
     assert_eq!(shared(&ask(&mut state, 2, NOW)), None);
     assert_eq!(shared(&head(&mut state, 2, NOW)), None);
 }
@@ -67,11 +68,14 @@
     let told = |stage| {
         let mut state = router(settings());
         let upstream = sent(&ask(&mut router(settings()), 1, NOW)).expect("a place");
-        state.apply(Event::WarmPrefixes(Warm { upstream, parts: PARTS.to_vec(), stage }), NOW);
+        state.apply(
+            Event::WarmPrefixes(WarmPrefixes { upstream, prefixes: PARTS.to_vec(), stage }),
+            NOW,
+        );
         waits(&ask(&mut state, 1, NOW))
     };
-    assert!(told(Stage::Reading));
-    assert!(!told(Stage::Read));
+    assert!(told(Stage::Prefilling));
+    assert!(!told(Stage::Cached));
 }
 
 #[test]
@@ -100,10 +104,10 @@
     let home = sent(&ask(&mut router(settings()), 1, NOW)).expect("a place");
     let names = (0..4).map(|it| Arc::<str>::from(format!("engine-{it}")));
     let other = names.into_iter().find(|it| *it != home).expect("another engine");
-    let warm = |upstream: &Arc<str>| Warm {
+    let warm = |upstream: &Arc<str>| WarmPrefixes {
         upstream: upstream.clone(),
-        parts: PARTS.to_vec(),
-        stage: Stage::Read,
+        prefixes: PARTS.to_vec(),
+        stage: Stage::Cached,
     };
     state.apply(Event::WarmPrefixes(warm(&other)), NOW);
     for id in 1..5 {
@@ -155,7 +159,7 @@
     let begun = |at: Millis| {
         let mut state = router(settings());
         let upstream = sent(&ask(&mut router(settings()), 1, NOW)).expect("a place");
-        let warm = Warm { upstream, parts: PARTS.to_vec(), stage: Stage::Reading };
+        let warm = WarmPrefixes { upstream, prefixes: PARTS.to_vec(), stage: Stage::Prefilling };
         state.apply(Event::WarmPrefixes(warm), NOW);
         waits(&ask(&mut state, 1, at))
     };
@@ -167,10 +171,10 @@
 fn what_is_remembered_is_bounded_and_the_latest() {
     let mut state = router(settings());
     let warm = |upstream: &str, part: u64| {
-        Event::WarmPrefixes(Warm {
+        Event::WarmPrefixes(WarmPrefixes {
             upstream: upstream.into(),
-            parts: vec![part],
-            stage: Stage::Read,
+            prefixes: vec![part],
+            stage: Stage::Cached,
         })
     };
     for part in 0..5_000 {
@@ -179,9 +183,9 @@
     }
     let (changes, remembered) = state.warm_prefixes();
     assert_eq!(changes, 10_000);
-    let names: Vec<_> = remembered.iter().map(|it| (&*it.upstream, it.parts.len())).collect();
+    let names: Vec<_> = remembered.iter().map(|it| (&*it.upstream, it.prefixes.len())).collect();
     assert_eq!(names, [("engine-0", 2_048), ("engine-1", 2_048)]);
-    assert!(remembered.iter().all(|it| it.parts.contains(&4_999) && !it.parts.contains(&0)));
+    assert!(remembered.iter().all(|it| it.prefixes.contains(&4_999) && !it.prefixes.contains(&0)));
 }
 
 #[test]
@@ -193,7 +197,7 @@
     head(&mut state, 1, NOW);
     assert_eq!(source(&state.apply(long(2), NOW)), None);
     let other = if &*first == "engine-0" { "engine-1" } else { "engine-0" };
-    let warm = Warm { upstream: other.into(), parts: vec![7], stage: Stage::Read };
+    let warm = WarmPrefixes { upstream: other.into(), prefixes: vec![7], stage: Stage::Cached };
     state.apply(Event::WarmPrefixes(warm), NOW);
     // Only where so many run that memory may be short.
     state.apply(engines_with(16, &["a", "a"]), NOW);
--- a/components/sidecar/src/peers.rs
+++ b/components/sidecar/src/peers.rs
@@ -5,7 +5,7 @@
 
 use admission::{Event, Peer};
 use link::Links;
-use store::{Entry, Reading};
+use store::{Entry, Update};
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::task::JoinSet;
 use wire::{Frame, Hello, Report};
@@ -20,7 +20,7 @@
     let every = Duration::from_millis(core.settings.hosts_every_ms);
     let Ok(mut hosts) = store::Hosts::new(&core.settings.hosts_url).await else { return };
     loop {
-        if let Ok(Reading { entries: Some(entries), bytes }) = hosts.read().await {
+        if let Ok(Update { entries: Some(entries), bytes }) = hosts.fetch().await {
             core.metrics.control("hosts", bytes);
             take(&core, entries);
         }
--- a/components/sidecar/src/server.rs
+++ b/components/sidecar/src/server.rs
@@ -151,7 +151,7 @@
     match exchange.frame {
         Frame::Open(open) => call::serve(core, open, exchange.sink).await,
         Frame::Report(report) => call::aggregate(core, report, exchange.sink).await,
-        Frame::Note(note) => {
+        Frame::DirectoryUpdate(note) => {
             core.apply(Event::DirectoryUpdate(note));
             exchange.sink.end();
         }
--- a/components/sidecar/src/upstream.rs
+++ b/components/sidecar/src/upstream.rs
@@ -119,7 +119,7 @@
 
 fn add_own_headers(mut request: ClientRequest, open: &Open) -> ClientRequest {
     request = request.header("x-request-id", &*open.request);
-    if let Some(key) = &open.once {
+    if let Some(key) = &open.idempotency_key {
         request = request.header("idempotency-key", client_key(key));
     }
     if let Some(traceparent) = &open.traceparent {
--- a/components/store/src/error.rs
+++ b/components/store/src/error.rs
@@ -8,7 +8,7 @@
 pub enum Error {
     /// The service can't be reached or broke off; a write may have taken effect.
     #[snafu(display("the platform's service did not answer: {reason}"))]
-    Silent {
+    Unreachable {
         /// What the client says.
         reason: String,
     },
@@ -20,11 +20,11 @@
     },
     /// The answer can't be read.
     #[snafu(display("the answer can't be read"))]
-    Shape {
+    Malformed {
         /// What `serde_json` says.
         source: serde_json::Error,
     },
     /// The answer holds no value where one must be.
     #[snafu(display("the answer holds no value"))]
-    Missing,
+    MissingValue,
 }
--- a/components/store/src/hosts.rs
+++ b/components/store/src/hosts.rs
@@ -9,7 +9,7 @@
 use snafu::ResultExt;
 
 use crate::Error;
-use crate::error::ShapeSnafu;
+use crate::error::MalformedSnafu;
 
 /// How long an idle connection to the platform is kept.
 pub(crate) const KEEP_ALIVE: Seconds = Seconds(4);
@@ -48,7 +48,7 @@
 
 /// What one look at the list brought.
 #[derive(Clone, Debug)]
-pub struct Reading {
+pub struct Update {
     /// The list, if it has changed.
     pub entries: Option<Vec<Entry>>,
     /// The bytes of the list that came.
@@ -62,7 +62,8 @@
     ///
     /// The runtime can't make a client.
     pub async fn new(base: &str) -> Result<Self, Error> {
-        let client = process::client(KEEP_ALIVE, process::CONNECT_TIMEOUT).await.map_err(silent)?;
+        let client =
+            process::client(KEEP_ALIVE, process::CONNECT_TIMEOUT).await.map_err(unreachable)?;
         Ok(Self { client, url: format!("{base}/v1/hosts").into(), tag: None })
     }
 
@@ -72,25 +73,25 @@
     /// # Errors
     ///
     /// The service did not answer, or not with a list.
-    pub async fn read(&mut self) -> Result<Reading, Error> {
+    pub async fn fetch(&mut self) -> Result<Update, Error> {
         let mut request = self.client.get(&*self.url).timeout(TIMEOUT);
         if let Some(tag) = &self.tag {
             request = request.header("if-none-match", tag);
         }
-        let response = request.send().await.map_err(silent)?;
+        let response = request.send().await.map_err(unreachable)?;
         match response.status().as_u16() {
             200 => {}
-            304 => return Ok(Reading { entries: None, bytes: 0 }),
+            304 => return Ok(Update { entries: None, bytes: 0 }),
             status => return Err(Error::Status { status }),
         }
         let tag = response.header("etag").and_then(|it| it.to_str().ok()).map(str::to_owned);
-        let body = response.body().limit(MAX_LIST).await.map_err(silent)?;
-        let entries = serde_json::from_slice(&body).context(ShapeSnafu)?;
+        let body = response.body().limit(MAX_LIST).await.map_err(unreachable)?;
+        let entries = serde_json::from_slice(&body).context(MalformedSnafu)?;
         self.tag = tag;
-        Ok(Reading { entries: Some(entries), bytes: body.len() })
+        Ok(Update { entries: Some(entries), bytes: body.len() })
     }
 }
 
-pub(crate) fn silent(fault: impl std::fmt::Display) -> Error {
-    Error::Silent { reason: fault.to_string() }
+pub(crate) fn unreachable(fault: impl std::fmt::Display) -> Error {
+    Error::Unreachable { reason: fault.to_string() }
 }
--- a/components/store/src/lib.rs
+++ b/components/store/src/lib.rs
@@ -8,5 +8,5 @@
 mod store;
 
 pub use error::Error;
-pub use hosts::{Entry, Hosts, Reading};
+pub use hosts::{Entry, Hosts, Update};
 pub use store::Store;
--- a/components/store/src/store.rs
+++ b/components/store/src/store.rs
@@ -10,8 +10,8 @@
 use snafu::{OptionExt, ResultExt};
 
 use crate::Error;
-use crate::error::{MissingSnafu, ShapeSnafu};
-use crate::hosts::{KEEP_ALIVE, silent};
+use crate::error::{MalformedSnafu, MissingValueSnafu};
+use crate::hosts::{KEEP_ALIVE, unreachable};
 
 /// How long one call may take.
 const TIMEOUT: Millis = Millis(1_000);
@@ -30,7 +30,8 @@
     ///
     /// The runtime can't make a client.
     pub async fn new(base: &str) -> Result<Self, Error> {
-        let client = process::client(KEEP_ALIVE, process::CONNECT_TIMEOUT).await.map_err(silent)?;
+        let client =
+            process::client(KEEP_ALIVE, process::CONNECT_TIMEOUT).await.map_err(unreachable)?;
         Ok(Self { client, base: base.into() })
     }
 
@@ -56,19 +57,20 @@
             return Ok(value.to_owned());
         }
         let stored = answer["responses"][0]["response_range"]["kvs"][0]["value"].as_str();
-        let bytes = stored.and_then(|text| STANDARD.decode(text).ok()).context(MissingSnafu)?;
-        String::from_utf8(bytes).ok().context(MissingSnafu)
+        let bytes =
+            stored.and_then(|text| STANDARD.decode(text).ok()).context(MissingValueSnafu)?;
+        String::from_utf8(bytes).ok().context(MissingValueSnafu)
     }
 
     async fn call(&self, path: &str, body: &Value) -> Result<Value, Error> {
         let url = format!("{}{path}", self.base);
         let request = self.client.post(url).timeout(TIMEOUT).send_json(body);
-        let response = request.await.map_err(silent)?;
+        let response = request.await.map_err(unreachable)?;
         let status = response.status().as_u16();
         if status != 200 {
             return Err(Error::Status { status });
         }
-        let body = response.body().await.map_err(silent)?;
-        serde_json::from_slice(&body).context(ShapeSnafu)
+        let body = response.body().await.map_err(unreachable)?;
+        serde_json::from_slice(&body).context(MalformedSnafu)
     }
 }
--- a/components/wire/src/codec.rs
+++ b/components/wire/src/codec.rs
@@ -7,7 +7,7 @@
 use crate::Frame;
 
 /// The largest frame, in bytes: the largest request body and room for its head.
-pub const MAX_FRAME: usize = 2 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 2 * 1024 * 1024;
 
 /// The length prefix, in bytes.
 const PREFIX: usize = 4;
@@ -19,8 +19,8 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The frame is longer than [`MAX_FRAME`].
-    #[snafu(display("a frame of {length} bytes is over the limit of {MAX_FRAME}"))]
+    /// The frame is longer than [`MAX_FRAME_BYTES`].
+    #[snafu(display("a frame of {length} bytes is over the limit of {MAX_FRAME_BYTES}"))]
     TooLong {
         /// The frame's length in bytes.
         length: usize,
@@ -51,15 +51,15 @@
     },
 }
 
-fn config() -> Configuration<LittleEndian, Varint, Limit<MAX_FRAME>> {
-    bincode::config::standard().with_limit::<MAX_FRAME>()
+fn config() -> Configuration<LittleEndian, Varint, Limit<MAX_FRAME_BYTES>> {
+    bincode::config::standard().with_limit::<MAX_FRAME_BYTES>()
 }
 
 /// The frame with its length prefix.
 ///
 /// # Errors
 ///
-/// A frame above [`MAX_FRAME`] is refused.
+/// A frame above [`MAX_FRAME_BYTES`] is refused.
 pub fn encode(frame: &Frame) -> Result<Bytes, Error> {
     let mut buffer = BytesMut::with_capacity(FRAME_ROOM);
     buffer.put_u32(0);
@@ -67,7 +67,7 @@
     bincode::serde::encode_into_std_write(frame, &mut writer, config()).context(EncodeSnafu)?;
     let mut buffer = writer.into_inner();
     let length = buffer.len() - PREFIX;
-    ensure!(length <= MAX_FRAME, TooLongSnafu { length });
+    ensure!(length <= MAX_FRAME_BYTES, TooLongSnafu { length });
     let prefix = u32::try_from(length).unwrap_or(u32::MAX);
     buffer[..PREFIX].copy_from_slice(&prefix.to_be_bytes());
     Ok(buffer.freeze())
@@ -101,7 +101,7 @@
         }
         let mut prefix = &self.buffer[..PREFIX];
         let length = prefix.get_u32() as usize;
-        ensure!(length <= MAX_FRAME, TooLongSnafu { length });
+        ensure!(length <= MAX_FRAME_BYTES, TooLongSnafu { length });
         if self.buffer.len() < PREFIX + length {
             return Ok(None);
         }
--- a/components/wire/src/demands.rs
+++ b/components/wire/src/demands.rs
@@ -13,5 +13,5 @@
     /// The pool of upstreams.
     pub pool: Arc<str>,
     /// What it tells.
-    pub word: Summary,
+    pub summary: Summary,
 }
--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::demands::Demands;
-use crate::places::{Claims, Short, Verdicts};
+use crate::permits::{Claims, Saturated, Verdicts};
 
 /// One frame of a stream.
 ///
@@ -42,29 +42,29 @@
     /// The sum over the pool, in answer to `Report`.
     Pool(Pool),
     /// Where a chat's context is now, told to its first upstream in rank.
-    Note(Note),
+    DirectoryUpdate(DirectoryUpdate),
     /// Where parts of prompts are warm, told by one router to the others.
-    Warm(Warm),
+    WarmPrefixes(WarmPrefixes),
     /// A router's own load at upstreams, told to the others.
     Loads(Loads),
     /// What answers told one router of upstreams' loads, told to the others.
-    Heard(Heard),
+    Observations(Observations),
     /// To other routers: how requests ended.
     Outcomes(Vec<Outcome>),
     /// Between routers: how long requests waited.
     Delays(Vec<Delay>),
     /// Between routers: an upstream has ended.
-    Ended(Ended),
-    /// Asks another router what the platform's store holds. It is answered by `News`, whose
-    /// facts follow in `Chunk`s, or by `Refer`.
-    Look(Look),
+    UpstreamCrash(UpstreamCrash),
+    /// Asks another router what the platform's store holds. It is answered by `Changes`, whose
+    /// facts follow in `Chunk`s, or by `Referral`.
+    Query(Query),
     /// What has changed in the platform's store, or all that it holds.
-    News(News),
+    Changes(Changes),
     /// The router that was asked can't tell; others may.
-    Refer(Refer),
+    Referral(Referral),
     /// The first frame of a datagram whose hints are to be passed on to others: how many routers
     /// have passed on one of them already, at most.
-    PassOn(u32),
+    Forwarded(u32),
     /// Between routers: how fast upstreams said that they were.
     Paces(Vec<Pace>),
     /// Between routers: work that was answered in full, by its hash, and is not why upstreams
@@ -77,18 +77,18 @@
     /// From the owner of a pool that is short: what it decided.
     Verdicts(Verdicts),
     /// Between routers: a pool is short of places.
-    Short(Short),
+    Saturated(Saturated),
 }
 
 /// A question of a router what the platform's store holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Look {
+pub struct Query {
     /// The router that asks, and those that hear from it.
     pub routers: Vec<Peer>,
     /// The revision up to which it knows all; `None` asks for everything.
     pub after: Option<Revision>,
     /// How old its proof is that it knows the newest configuration, in milliseconds.
-    pub proof_ms: Option<u64>,
+    pub confirmation_age_ms: Option<u64>,
     /// How long the answer may wait for something new, in milliseconds.
     pub wait_ms: u64,
 }
@@ -120,31 +120,31 @@
 
 /// What another router knows of the platform's store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct Changes {
     /// The revision that the facts are of.
     pub revision: Revision,
     /// Whether the facts are all there are, not only changes.
-    pub whole: bool,
+    pub full: bool,
     /// How long the question waited for this answer, in milliseconds.
-    pub held_ms: u64,
+    pub waited_ms: u64,
     /// How old the proof is that nothing newer is in force, as the answer begins.
-    pub proof_ms: Option<u64>,
+    pub confirmation_age_ms: Option<u64>,
 }
 
 /// The router that was asked can't tell.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Refer {
+pub struct Referral {
     /// Others that may be asked; none where it has just started itself.
     pub routers: Vec<Peer>,
 }
 
 /// An upstream has ended while it had requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ended {
+pub struct UpstreamCrash {
     /// The upstream, by the name of one start.
     pub upstream: Arc<str>,
     /// The hashes of the work that the requests asked for.
-    pub contents: Vec<u64>,
+    pub fingerprints: Vec<u64>,
 }
 
 /// Who connects, and the proof that it may.
@@ -193,7 +193,7 @@
     pub chat: u64,
     /// Whether this is the chat's first upstream in rank, which knows where the
     /// chat's context is.
-    pub home: bool,
+    pub is_home: bool,
     /// Lower runs earlier.
     pub priority: i32,
     /// The time left until the caller's deadline, in milliseconds.
@@ -203,7 +203,7 @@
     /// The upstream's life that may run the request; any, if zero.
     pub incarnation: u64,
     /// The idempotency key of a call that may run once at most.
-    pub once: Option<Arc<str>>,
+    pub idempotency_key: Option<Arc<str>>,
     /// The generation of the configuration that the request was decided under.
     pub generation: u64,
     /// The W3C trace context.
@@ -300,7 +300,7 @@
 
 /// Where a chat's context is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Note {
+pub struct DirectoryUpdate {
     /// The hash of workspace and chat.
     pub chat: u64,
     /// The upstream that answered the chat last.
@@ -310,11 +310,11 @@
 /// Where parts of prompts are warm. It is a hint: one that is lost or wrong costs
 /// a copy or a second reading, no more.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Warm {
+pub struct WarmPrefixes {
     /// The upstream.
     pub upstream: Arc<str>,
     /// The parts, each hashed with all parts before it.
-    pub parts: Vec<u64>,
+    pub prefixes: Vec<u64>,
     /// How far the upstream is.
     pub stage: Stage,
 }
@@ -323,9 +323,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stage {
     /// It has been sent them, and has none to copy from.
-    Reading,
+    Prefilling,
     /// It has read them.
-    Read,
+    Cached,
 }
 
 /// A router's own load, at each upstream where it has any.
@@ -352,11 +352,11 @@
 
 /// What answers told a router of the loads of upstreams.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Heard {
+pub struct Observations {
     /// Whether the router's configuration is known to be the newest.
     pub current: bool,
     /// Each upstream of which an answer told, the latest only.
-    pub upstreams: Vec<Told>,
+    pub upstreams: Vec<Observation>,
 }
 
 /// How requests of a router ended at an upstream since it was told last.
@@ -365,9 +365,9 @@
     /// The upstream.
     pub upstream: Arc<str>,
     /// Answers that began well and in time.
-    pub good: u32,
+    pub successes: u32,
     /// Failures, and what came late or never.
-    pub bad: u32,
+    pub failures: u32,
 }
 
 /// How long requests of a router waited since it was told last.
@@ -385,7 +385,7 @@
 
 /// What an answer told of an upstream's load.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Observation {
     /// The upstream.
     pub upstream: Arc<str>,
     /// Requests that ran and waited there, whoever sent them.
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -7,14 +7,14 @@
 mod demands;
 mod frame;
 mod pack;
-mod places;
+mod permits;
 
-pub use codec::{Error, MAX_FRAME, Reader, encode};
+pub use codec::{Error, MAX_FRAME_BYTES, Reader, encode};
 pub use demands::Demands;
 pub use frame::{
-    Admitted, Broken, Chunk, Delay, End, Ended, Frame, Head, Heard, Hello, Load, Loads, Look, News,
-    Note, Open, Outcome, Pace, Peer, Refer, Refused, Report, Revision, Stage, Status, Told, Warm,
-    Welcome,
+    Admitted, Broken, Changes, Chunk, Delay, DirectoryUpdate, End, Frame, Head, Hello, Load, Loads,
+    Observation, Observations, Open, Outcome, Pace, Peer, Query, Referral, Refused, Report,
+    Revision, Stage, Status, UpstreamCrash, WarmPrefixes, Welcome,
 };
 pub use pack::{pack, unpack};
-pub use places::{Claim, Claims, Finish, Held, Release, Short, Turn, Verdict, Verdicts};
+pub use permits::{Claim, ClaimState, Claims, Finish, Held, Release, Saturated, Verdict, Verdicts};
--- a/components/wire/src/places.rs
+++ b/components/wire/src/permits.rs
@@ -12,7 +12,7 @@
     /// The router that asks.
     pub router: Arc<str>,
     /// Requests that ask for a place.
-    pub asks: Vec<Claim>,
+    pub claims: Vec<Claim>,
     /// Permits that are given back, and asks that are taken back.
     pub releases: Vec<Release>,
     /// Permits that are held.
@@ -27,7 +27,7 @@
     /// The workspace.
     pub workspace: Arc<str>,
     /// The hash of the work, by which a caller that comes back is known.
-    pub content: u64,
+    pub fingerprint: u64,
     /// Lower goes first.
     pub urgency: i32,
     /// Whether it may be repeated.
@@ -90,23 +90,23 @@
     /// The router's number for it.
     pub number: u64,
     /// The decision.
-    pub turn: Turn,
+    pub state: ClaimState,
 }
 
 /// A decision on a request that asks for a place.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Turn {
+pub enum ClaimState {
     /// It may be sent to this upstream.
     Granted(Arc<str>),
     /// It is not to be sent; its caller may come back in so many milliseconds.
     Refused(u32),
     /// It waits at the owner.
-    Waits,
+    Queued,
 }
 
 /// A pool is short of places: routers ask its owner before they send.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Short {
+pub struct Saturated {
     /// The pool.
     pub pool: Arc<str>,
     /// The owner.
@@ -114,5 +114,5 @@
     /// How many requests the pool answers in 1,000 s.
     pub rate: u32,
     /// For how long this counts, in milliseconds; zero once the pool is short no more.
-    pub lasts_ms: u32,
+    pub ttl_ms: u32,
 }
--- a/components/wire/tests/codec.rs
+++ b/components/wire/tests/codec.rs
@@ -6,8 +6,9 @@
 use proptest::test_runner::{Config, RngSeed};
 use shares::{Demand, MAX_DEMANDS, Remainder, Summary};
 use wire::{
-    Chunk, Delay, Demands, End, Ended, Error, Frame, Heard, Load, Loads, MAX_FRAME, Open, Outcome,
-    Pace, Reader, Report, Stage, Status, Told, Warm, encode,
+    Chunk, Delay, Demands, End, Error, Frame, Load, Loads, MAX_FRAME_BYTES, Observation,
+    Observations, Open, Outcome, Pace, Reader, Report, Stage, Status, UpstreamCrash, WarmPrefixes,
+    encode,
 };
 
 /// The seed of the cases, so that every run is the same.
@@ -23,12 +24,12 @@
         attempt: 2,
         workspace: "mesa".into(),
         chat: 5,
-        home: true,
+        is_home: true,
         priority: -3,
         remaining_ms: 4_000,
         weight: 77,
         incarnation: 9,
-        once: key.map(Into::into),
+        idempotency_key: key.map(Into::into),
         generation: 3,
         traceparent: None,
         method: "POST".into(),
@@ -54,7 +55,7 @@
         demands: lines,
         remainder: rest,
     };
-    Demands { router: "front-1".into(), pool: "engine".into(), word }
+    Demands { router: "front-1".into(), pool: "engine".into(), summary: word }
 }
 
 fn frames() -> impl Strategy<Value = Frame> {
@@ -68,9 +69,9 @@
             Frame::End(End { attempt, chunks, bytes, status: Status::default() })
         }),
         (any::<String>(), prop::collection::vec(any::<u64>(), 0..101), any::<bool>()).prop_map(
-            |(upstream, parts, read)| {
-                let stage = if read { Stage::Read } else { Stage::Reading };
-                Frame::Warm(Warm { upstream: upstream.into(), parts, stage })
+            |(upstream, prefixes, read)| {
+                let stage = if read { Stage::Cached } else { Stage::Prefilling };
+                Frame::WarmPrefixes(WarmPrefixes { upstream: upstream.into(), prefixes, stage })
             }
         ),
         (any::<bool>(), prop::collection::vec(any::<(String, u64, u64)>(), 0..40)).prop_map(
@@ -87,13 +88,10 @@
         ),
         (any::<bool>(), prop::collection::vec(any::<(String, u64, u64, u64)>(), 0..40)).prop_map(
             |(current, told)| {
-                let told = told.into_iter().map(|(upstream, requests, waiting, age_ms)| Told {
-                    upstream: upstream.into(),
-                    requests,
-                    waiting,
-                    age_ms,
+                let told = told.into_iter().map(|(upstream, requests, waiting, age_ms)| {
+                    Observation { upstream: upstream.into(), requests, waiting, age_ms }
                 });
-                Frame::Heard(Heard { current, upstreams: told.collect() })
+                Frame::Observations(Observations { current, upstreams: told.collect() })
             }
         ),
         prop::collection::vec(any::<(String, i32, u32, u32)>(), 0..40).prop_map(|delays| {
@@ -108,13 +106,16 @@
         (any::<u64>(), prop::collection::vec(any::<(u64, i32, u32, u32)>(), 0..40))
             .prop_map(|(at, lines)| Frame::Demands(demands(at, lines))),
         (any::<String>(), prop::collection::vec(any::<u64>(), 0..40)).prop_map(
-            |(upstream, contents)| Frame::Ended(Ended { upstream: upstream.into(), contents })
+            |(upstream, fingerprints)| Frame::UpstreamCrash(UpstreamCrash {
+                upstream: upstream.into(),
+                fingerprints
+            })
         ),
         prop::collection::vec(any::<(String, u32, u32)>(), 0..40).prop_map(|outcomes| {
-            let outcome = |(upstream, good, bad): (String, u32, u32)| Outcome {
+            let outcome = |(upstream, successes, failures): (String, u32, u32)| Outcome {
                 upstream: upstream.into(),
-                good,
-                bad,
+                successes,
+                failures,
             };
             Frame::Outcomes(outcomes.into_iter().map(outcome).collect())
         }),
@@ -180,7 +181,7 @@
 
 #[test]
 fn an_oversized_frame_is_not_written() {
-    assert!(encode(&open(vec![0; MAX_FRAME + 1], None)).is_err());
+    assert!(encode(&open(vec![0; MAX_FRAME_BYTES + 1], None)).is_err());
 }
 
 /// What a datagram between routers may have, in bytes.
--- a/tests/platform/hints.rs
+++ b/tests/platform/hints.rs
@@ -3,7 +3,7 @@
 use std::net::UdpSocket;
 use std::time::Duration;
 
-use wire::{Frame, Load, Reader, Stage, Warm};
+use wire::{Frame, Load, Reader, Stage, WarmPrefixes};
 
 use crate::router::{Router, configuration, headers, own_host};
 use crate::standin::{Act, Upstream};
@@ -21,10 +21,10 @@
 }
 
 /// The next hint that comes to a router's stand-in.
-fn hint(socket: &UdpSocket) -> Warm {
+fn hint(socket: &UdpSocket) -> WarmPrefixes {
     loop {
         match frame(socket) {
-            Frame::Warm(warm) => return warm,
+            Frame::WarmPrefixes(warm) => return warm,
             Frame::Loads(_) => {}
             other => panic!("no hint: {other:?}"),
         }
@@ -50,15 +50,15 @@
     let ask = |prompt| router.ask("POST /stream/x", &[("Prompt-Prefix", prompt)], "b").unwrap();
     assert!(ask("aa:9,bb:9,cc:1").whole);
     let (reading, read) = (hint(&other), hint(&other));
-    assert_eq!((reading.stage, read.stage), (Stage::Reading, Stage::Read));
-    assert_eq!((&*read.upstream, read.parts.len()), ("i-1", 2));
-    assert_eq!(reading.parts, read.parts);
+    assert_eq!((reading.stage, read.stage), (Stage::Prefilling, Stage::Cached));
+    assert_eq!((&*read.upstream, read.prefixes.len()), ("i-1", 2));
+    assert_eq!(reading.prefixes, read.prefixes);
 
     // Bytes that are no hint do no harm; the next hint is taken.
     let tell = |bytes: &[u8]| other.send_to(bytes, router.hints()).expect("sent");
     tell(b"");
     tell(&[0xff; 1_400]);
-    tell(&wire::encode(&Frame::Warm(read)).expect("a frame"));
+    tell(&wire::encode(&Frame::WarmPrefixes(read)).expect("a frame"));
     router.until("told", || router.has_logged("routers told of warm parts"));
     assert!(ask("aa:9,bb:9,dd:1").whole);
 }
