--- a/components/admission/src/state.rs
+++ b/components/admission/src/state.rs
@@ -108,7 +108,7 @@
             Event::Failed { call, kind } => self.fail(call, kind),
             Event::Pool { pool, sum } => self.record_pool(pool, sum, now),
             Event::Report { call, report } => self.receive_report(call, &report, now),
-            Event::DirectoryUpdate(note) => self.update_directory(note),
+            Event::DirectoryUpdate(update) => self.update_directory(update),
             Event::Peers(peers) => self.set_peers(peers, now),
             Event::Tick => self.tick(now),
             Event::Leave => self.leave(),
@@ -397,8 +397,8 @@
         vec![Effect::Finish { call, frame }]
     }
 
-    fn update_directory(&mut self, note: DirectoryUpdate) -> Vec<Effect> {
-        self.directory.insert(note.chat, note.upstream, self.settings.chats);
+    fn update_directory(&mut self, update: DirectoryUpdate) -> Vec<Effect> {
+        self.directory.insert(update.chat, update.upstream, self.settings.chats);
         Vec::new()
     }
 
--- a/components/permits/src/decision.rs
+++ b/components/permits/src/decision.rs
@@ -15,7 +15,7 @@
     /// The workspace.
     pub workspace: Arc<str>,
     /// What was decided.
-    pub turn: ClaimState,
+    pub state: ClaimState,
     /// How long the request waited.
     pub waited: Millis,
 }
--- a/components/permits/src/issuer.rs
+++ b/components/permits/src/issuer.rs
@@ -133,7 +133,7 @@
             decisions.extend(self.waiting(id, now));
         }
         if !self.queue.is_empty()
-            || decisions.iter().any(|decision| matches!(decision.turn, ClaimState::Refused(_)))
+            || decisions.iter().any(|decision| matches!(decision.state, ClaimState::Refused(_)))
         {
             self.saturated_at = now;
         }
@@ -182,8 +182,8 @@
     fn enqueue(&mut self, router: &Arc<str>, claim: &Claim, now: Millis) -> Option<Verdict> {
         let id = (router.clone(), claim.number);
         let number = claim.number;
-        if let Some((turn, _)) = self.decided.get(&id) {
-            return turn.clone().map(|turn| Verdict { number, state: turn });
+        if let Some((state, _)) = self.decided.get(&id) {
+            return state.clone().map(|state| Verdict { number, state });
         }
         if self.queue.get(&id).is_some() {
             return Some(Verdict { number, state: ClaimState::Queued });
@@ -348,17 +348,17 @@
     fn waiting(&self, id: Id, now: Millis) -> Option<Decision> {
         let waiter = self.queue.get(&id)?;
         let (workspace, waited) = (waiter.workspace.clone(), waiter.arrived.until(now));
-        Some(Decision { router: id.0, number: id.1, workspace, turn: ClaimState::Queued, waited })
+        Some(Decision { router: id.0, number: id.1, workspace, state: ClaimState::Queued, waited })
     }
 
-    fn decision(&mut self, waiter: Waiter, turn: ClaimState, now: Millis) -> Decision {
-        self.record_decision(&waiter.id, Some(turn.clone()), now);
+    fn decision(&mut self, waiter: Waiter, state: ClaimState, now: Millis) -> Decision {
+        self.record_decision(&waiter.id, Some(state.clone()), now);
         let (router, number) = waiter.id;
         let waited = waiter.arrived.until(now);
-        Decision { router, number, workspace: waiter.workspace, turn, waited }
+        Decision { router, number, workspace: waiter.workspace, state, waited }
     }
 
-    fn record_decision(&mut self, id: &Id, turn: Option<ClaimState>, now: Millis) {
-        self.decided.insert(id.clone(), (turn, now));
+    fn record_decision(&mut self, id: &Id, state: Option<ClaimState>, now: Millis) {
+        self.decided.insert(id.clone(), (state, now));
     }
 }
--- a/components/permits/src/requester.rs
+++ b/components/permits/src/requester.rs
@@ -103,8 +103,8 @@
     }
 
     /// Takes the pool's rate from its owner's message.
-    pub fn receive_saturation(&mut self, short: &Saturated) {
-        self.rate = f64::from(short.rate) / 1_000_000.0;
+    pub fn receive_saturation(&mut self, saturated: &Saturated) {
+        self.rate = f64::from(saturated.rate) / 1_000_000.0;
     }
 
     /// Requests a permit.
--- a/components/permits/tests/issuer.rs
+++ b/components/permits/tests/issuer.rs
@@ -136,7 +136,7 @@
         let decisions = self.issuer.decide(self.now);
         let upstreams: Vec<_> = self.issuer.upstreams(self.now).collect();
         for decision in &decisions {
-            if let ClaimState::Granted(name) = &decision.turn {
+            if let ClaimState::Granted(name) = &decision.state {
                 let upstream =
                     upstreams.iter().find(|upstream| upstream.0 == name).expect("an upstream");
                 assert!(upstream.2 <= upstream.1, "{upstream:?} after a grant");
@@ -145,12 +145,12 @@
         }
         drop(upstreams);
         for decision in &decisions {
-            self.record(decision.number, &decision.turn);
+            self.record(decision.number, &decision.state);
         }
     }
 
-    fn record(&mut self, number: u64, turn: &ClaimState) {
-        let name = match turn {
+    fn record(&mut self, number: u64, state: &ClaimState) {
+        let name = match state {
             ClaimState::Granted(_) => "granted",
             ClaimState::Refused(_) => "refused",
             ClaimState::Queued => return,
--- a/components/permits/tests/loads/world.rs
+++ b/components/permits/tests/loads/world.rs
@@ -200,13 +200,15 @@
         }
         if at.is_multiple_of(400) {
             let snapshot = self.owners[0].snapshot(now);
-            let short = Saturated {
+            let saturated = Saturated {
                 pool: "plain".into(),
                 owner: "o".into(),
                 rate: snapshot.rate,
                 ttl_ms: 1_500,
             };
-            self.requesters.iter_mut().for_each(|requester| requester.receive_saturation(&short));
+            self.requesters
+                .iter_mut()
+                .for_each(|requester| requester.receive_saturation(&saturated));
         }
     }
 
@@ -327,8 +329,8 @@
         self.owners[owner].set_upstreams(&[("up".into(), SLOTS as u64)]);
         for decision in self.owners[owner].decide(now) {
             let router: usize = decision.router[7..].parse().expect("a number");
-            let verdict = Verdict { number: decision.number, state: decision.turn.clone() };
-            match decision.turn {
+            let verdict = Verdict { number: decision.number, state: decision.state.clone() };
+            match decision.state {
                 ClaimState::Refused(_) => {
                     self.refused.insert(decision.number);
                     let late = decision.waited.0 * 10 > OBJECTIVE + 10 * self.setup.delay * 2 + 10;
--- a/components/router/src/places.rs
+++ b/components/router/src/places.rs
@@ -298,7 +298,7 @@
         let mut told: BTreeMap<Arc<str>, Vec<Verdict>> = BTreeMap::new();
         for line in lines {
             log(core, pool, &line);
-            let verdict = Verdict { number: line.number, state: line.turn };
+            let verdict = Verdict { number: line.number, state: line.state };
             told.entry(line.router).or_default().push(verdict);
         }
         for (router, verdicts) in told {
@@ -340,7 +340,7 @@
 
 fn log(core: &Core, pool: &Arc<str>, line: &Decision) {
     let (router, workspace, waited_ms) = (&*line.router, &*line.workspace, line.waited.0);
-    match &line.turn {
+    match &line.state {
         ClaimState::Granted(upstream) => {
             core.metrics.belief("place_granted");
             info!("place granted", kv: {
