--- a/components/experiment/src/overload/fleet/hints.rs
+++ b/components/experiment/src/overload/fleet/hints.rs
@@ -21,7 +21,7 @@
 
     pub(super) fn tell_waits(&mut self) {
         for router in 0..ROUTERS {
-            let outcomes = self.routers[router].outcomes();
+            let outcomes = self.routers[router].take_outcomes();
             self.tell(router, &Event::Outcomes(outcomes));
             let delays = self.routers[router].take_delays();
             self.tell(router, &Event::Delays(delays));
--- a/components/router/src/core.rs
+++ b/components/router/src/core.rs
@@ -176,8 +176,8 @@
             }
             Effect::ReportCleared(clearing) => {
                 self.metrics.belief("work_cleared");
-                report::cleared(clearing.content);
-                self.tell_cleared(clearing.content);
+                report::cleared(clearing.fingerprint);
+                self.tell_cleared(clearing.fingerprint);
                 self.crashes.clear(clearing);
                 false
             }
@@ -233,7 +233,7 @@
     /// four more upstreams where three are allowed.
     fn tell_ended(&self, crashes: &[Crash]) {
         if let (Some(peers), Some(first)) = (self.peers(), crashes.first()) {
-            let contents = crashes.iter().map(|it| it.content).collect();
+            let contents = crashes.iter().map(|it| it.fingerprint).collect();
             let ended = UpstreamCrash { upstream: first.upstream.clone(), fingerprints: contents };
             let bytes = peers.tell(Frame::UpstreamCrash(ended), self.clock.now());
             self.metrics.control("ended", bytes);
@@ -261,17 +261,17 @@
 
     /// What answers have told of loads since this was asked last.
     pub(crate) fn heard(&self) -> Observations {
-        self.state.borrow_mut().heard(self.clock.now())
+        self.state.borrow_mut().take_observations(self.clock.now())
     }
 
     /// How requests have ended since this was asked last.
     pub(crate) fn outcomes(&self) -> Vec<Outcome> {
-        self.state.borrow_mut().outcomes()
+        self.state.borrow_mut().take_outcomes()
     }
 
     /// What upstreams have told of their pace since this was asked last.
     pub(crate) fn paces(&self) -> Vec<wire::Pace> {
-        self.state.borrow_mut().paces(self.clock.now())
+        self.state.borrow_mut().take_paces(self.clock.now())
     }
 
     /// How long requests have waited since this was asked last.
@@ -292,7 +292,7 @@
     /// Whether callers are better served by another router, to which a new connection
     /// leads them.
     pub(crate) fn sends_away(&self, kind: Kind) -> bool {
-        let elsewhere = || self.state.borrow().others_are_current(self.clock.now());
+        let elsewhere = || self.state.borrow().has_current_peer(self.clock.now());
         self.stop.is_asked() || (kind == Kind::StaleConfiguration && elsewhere())
     }
 
@@ -386,7 +386,7 @@
                     "load": it.load(),
                     "up": it.is_up(now),
                     "leaving": it.is_leaving(),
-                    "rest_ms": it.rest(now).0,
+                    "rest_ms": it.backoff(now).0,
                 })
             })
             .collect();
--- a/components/router/src/crashes.rs
+++ b/components/router/src/crashes.rs
@@ -10,7 +10,7 @@
 
 use clock::Millis;
 use edge::{Error, Lease};
-use routing::{Check, Crash, Event};
+use routing::{Crash, Event, Liveness};
 use spdlog::{info, warn};
 use tokio::sync::Notify;
 use tokio::task::JoinSet;
@@ -51,7 +51,7 @@
 
     /// Has the other routers told that work is cleared, in place of its ends.
     pub(crate) fn clear(&self, clearing: &Crash) {
-        self.take_back(&[clearing.content]);
+        self.take_back(&[clearing.fingerprint]);
         self.add(std::slice::from_ref(clearing));
     }
 
@@ -59,7 +59,7 @@
     pub(crate) fn take_back(&self, contents: &[u64]) {
         let mut own = self.own.borrow_mut();
         let before = own.len();
-        own.retain(|it| it.cleared || !contents.contains(&it.content));
+        own.retain(|it| it.cleared || !contents.contains(&it.fingerprint));
         if own.len() < before {
             self.to_tell.notify_one();
         }
@@ -112,9 +112,9 @@
 /// Opens a connection, which the next request uses.
 async fn check_one(core: Rc<Core>, upstream: Arc<str>, address: Arc<str>) {
     let check = match core.client().open(&address).await {
-        Ok(()) => Check::Stands,
-        Err(fault) if fault.is_refusal() => Check::Ended,
-        Err(_) => Check::Unknown,
+        Ok(()) => Liveness::Alive,
+        Err(fault) if fault.is_refusal() => Liveness::Dead,
+        Err(_) => Liveness::Unknown,
     };
     info!("upstream checked", kv: { upstream = &*upstream, found = format!("{check:?}") });
     core.apply(Event::Checked { upstream, check });
--- a/components/router/src/feed.rs
+++ b/components/router/src/feed.rs
@@ -15,7 +15,7 @@
 use clock::{Millis, Sleep};
 use edge::{Batch, Era, Error, Revision, Store};
 use fleet::{Freshness, Source};
-use routing::{Event, Listing, RETURN};
+use routing::{Event, Listing, MISSING_TTL};
 use spdlog::{info, warn};
 
 use crate::core::Core;
@@ -183,7 +183,7 @@
         if returns {
             info!("the store answers again", kv: { revision = batch.revision.number });
             let returned = self.returned();
-            self.listing.came_back(returned);
+            self.listing.begin_recovery(returned);
         }
         self.reads_anew = false;
         // What was not written in the outage comes now, all of it at once.
@@ -216,11 +216,11 @@
         if self.started && era != self.era {
             self.come_back_older(batch.revision);
         }
-        let (returns, doubted) = (self.listing.is_returning(), self.doubted_until.is_some());
+        let (returns, doubted) = (self.listing.is_recovering(), self.doubted_until.is_some());
         let now = self.core.clock.now();
         self.core.fleet().learn(&batch, whole, returns, doubted, now);
         self.take(batch, whole);
-        self.listing.settle();
+        self.listing.finish_recovery();
     }
 
     /// The store came back from an older copy. What it lacks others write again; this router does
@@ -230,8 +230,8 @@
         warn!("the store came back from an older copy", kv: { era, revision });
         self.core.metrics.belief("store_older");
         let now = self.core.clock.now();
-        self.listing.came_back_older(now);
-        self.doubted_until = Some(now + RETURN);
+        self.listing.begin_restored_recovery(now);
+        self.doubted_until = Some(now + MISSING_TTL);
         self.core.crashes.tell_again();
         self.memory.write_again();
         self.core.store_is_older.notify_one();
--- a/components/router/src/feed/facts.rs
+++ b/components/router/src/feed/facts.rs
@@ -81,7 +81,7 @@
     /// At the start, upstreams that were remembered and are not listed.
     fn recall(&mut self, hosts: Vec<Host>, now: Millis) -> bool {
         let remembered = hosts.len();
-        let missing = self.listing.remember(hosts, now);
+        let missing = self.listing.restore(hosts, now);
         if missing {
             info!("upstreams are missing that were remembered", kv: { remembered });
         }
@@ -118,7 +118,7 @@
             Fact::UnreadableUpstream { entry, reason } => {
                 self.leave_unreadable(&entry, &reason, summary);
             }
-            Fact::UpstreamMissing(entry) => self.listing.miss(&entry, self.returned()),
+            Fact::UpstreamMissing(entry) => self.listing.mark_missing(&entry, self.returned()),
             Fact::Router(announcement) => {
                 summary.routers.insert(announcement.router.name.clone());
                 self.core.fleet().roster().insert(announcement);
--- a/components/router/src/hints.rs
+++ b/components/router/src/hints.rs
@@ -223,7 +223,7 @@
 fn take_ended(core: &Core, ended: &UpstreamCrash, from: SocketAddr) {
     let at = core.clock.now();
     let crash = |content: &u64| Crash {
-        content: *content,
+        fingerprint: *content,
         upstream: ended.upstream.clone(),
         at,
         cleared: false,
@@ -242,7 +242,7 @@
     let at = core.clock.now();
     info!("another router cleared work", kv: { works = contents.len(), from = from.to_string() });
     core.crashes.take_back(contents);
-    core.apply(Event::Crashes(contents.iter().map(|it| Crash::clearing(*it, at)).collect()));
+    core.apply(Event::Crashes(contents.iter().map(|it| Crash::cleared(*it, at)).collect()));
 }
 
 /// Logs the hints of the last second, if there were any: a line for each would be
--- a/components/router/src/memory.rs
+++ b/components/router/src/memory.rs
@@ -62,7 +62,7 @@
     /// Has the upstreams of `listing` remembered, if they have changed and none of
     /// them is in doubt.
     pub(crate) fn remember(&self, listing: &Listing) {
-        if listing.is_in_doubt() {
+        if listing.has_expiring() {
             return;
         }
         let mut hosts = listing.hosts();
--- a/components/router/src/report.rs
+++ b/components/router/src/report.rs
@@ -64,7 +64,7 @@
 /// Logs that upstreams ended while they had requests of this router.
 pub(crate) fn crashed(crashes: &[Crash]) {
     let Some(first) = crashes.first() else { return };
-    let contents: Vec<_> = crashes.iter().map(|it| format!("{:016x}", it.content)).collect();
+    let contents: Vec<_> = crashes.iter().map(|it| format!("{:016x}", it.fingerprint)).collect();
     let contents = contents.join(" ");
     info!("upstream ended under work", kv: { upstream = &*first.upstream, contents });
 }
--- a/components/routing/src/admission.rs
+++ b/components/routing/src/admission.rs
@@ -27,7 +27,7 @@
 use wire::Delay;
 
 use crate::Effect;
-use crate::beliefs::outlook::Outlook;
+use crate::beliefs::outlook::Estimate;
 use crate::requests::request::Request;
 use crate::state::State;
 
@@ -45,19 +45,19 @@
 
 impl State {
     /// What is expected of upstream `name` for a request of `priority`.
-    fn forecast(&self, pool: &str, priority: i32, name: &str, outlook: &Outlook) -> Forecast {
+    fn forecast(&self, pool: &str, priority: i32, name: &str, estimate: &Estimate) -> Forecast {
         let (Some(flow), Some(upstream)) = (self.flows.get(pool), self.upstreams.get(name)) else {
             return Forecast::default();
         };
-        let waiting = upstream.waiting_at(outlook);
+        let waiting = upstream.estimated_waiting(estimate);
         let usual =
-            waiting.map_or_else(Forecast::default, |it| flow.forecast(priority, it, outlook.now));
+            waiting.map_or_else(Forecast::default, |it| flow.forecast(priority, it, estimate.now));
         if !self.settings.mechanisms.pace {
             return usual;
         }
         let base_ms = flow.base_ms(priority);
         Forecast {
-            wait_ms: upstream.pace.expected_wait_ms(base_ms, usual.wait_ms, outlook.now),
+            wait_ms: upstream.pace.expected_wait_ms(base_ms, usual.wait_ms, estimate.now),
             ..usual
         }
     }
@@ -67,8 +67,8 @@
         let Some(request) = self.requests.get(&id) else {
             return Forecast::default();
         };
-        let outlook = Outlook { now, ..request.outlook };
-        self.forecast(&request.pool, request.priority, name, &outlook)
+        let estimate = Estimate { now, ..request.estimate };
+        self.forecast(&request.pool, request.priority, name, &estimate)
     }
 
     /// Puts the first in rank before the others whose wait is within the limit, or else the
@@ -80,11 +80,11 @@
         pool: &str,
         priority: i32,
         part: f64,
-        outlook: &Outlook,
+        estimate: &Estimate,
     ) {
         let Some(limit) = self.limit_ms(pool, priority) else { return };
         let limit = limit * part;
-        let wait = |name: &Arc<str>| self.forecast(pool, priority, name, outlook).wait_ms;
+        let wait = |name: &Arc<str>| self.forecast(pool, priority, name, estimate).wait_ms;
         if candidates.last().is_none_or(|it| wait(it) <= limit) {
             return;
         }
@@ -140,7 +140,7 @@
         let Some(last) = request.tries.last_mut().filter(|it| it.is_waiting) else { return };
         last.is_waiting = false;
         if let Some(upstream) = self.upstreams.get_mut(&last.upstream) {
-            upstream.begin_answer(weight);
+            upstream.record_answer_start(weight);
         }
         let flow = self.flows.entry(pool).or_default();
         flow.record_start(priority, last.sent.until(now), last.queued, now);
--- a/components/routing/src/admission/estimator.rs
+++ b/components/routing/src/admission/estimator.rs
@@ -4,7 +4,7 @@
 
 use clock::Millis;
 
-use crate::beliefs::outlook::{count, ms};
+use crate::beliefs::outlook::{millis_to_f64, to_f64};
 
 /// How much the latest answer counts in the time that one takes without a queue, if it took
 /// less, and if it took more: prompts that must be read first say little of it.
@@ -54,7 +54,7 @@
 
     /// Takes that an answer took `took` to begin with `queued` requests before it.
     pub(crate) fn began(&mut self, took: Millis, queued: u64, now: Millis) {
-        let took = ms(took);
+        let took = millis_to_f64(took);
         let base = self.base_ms.unwrap_or(took);
         if queued == 0 {
             let part = if took < base { FASTER } else { SLOWER };
@@ -100,11 +100,11 @@
     pub(crate) fn wait_ms(&self, queued: u64, now: Millis) -> f64 {
         let known = self.waits(now);
         let each = (known.ms + PRIOR * self.before_ms) / (known.queued + PRIOR);
-        count(queued) * each
+        to_f64(queued) * each
     }
 
     fn waits(&self, now: Millis) -> Waits {
-        let kept = 0.5_f64.powf(ms(self.at.until(now)) / HALF_LIFE_MS);
+        let kept = 0.5_f64.powf(millis_to_f64(self.at.until(now)) / HALF_LIFE_MS);
         Waits { ms: self.waited.ms * kept, queued: self.waited.queued * kept }
     }
 }
--- a/components/routing/src/admission/flow.rs
+++ b/components/routing/src/admission/flow.rs
@@ -9,7 +9,7 @@
 use super::Forecast;
 use super::estimator::Estimator;
 use super::retry_after::Bookings;
-use crate::beliefs::outlook::count;
+use crate::beliefs::outlook::to_f64;
 
 /// The share of an objective within which an answer must be expected to begin. Nine in ten
 /// begin within two and a half times the expected time. At 0.3 requests are refused while
@@ -84,7 +84,7 @@
         let least = objectives(..=priority).min()?;
         let before = objectives(..=priority).count().saturating_sub(1);
         let before = i32::try_from(before).unwrap_or(i32::MAX);
-        let all = count(least) * PART * GIVES_WAY.powi(before);
+        let all = to_f64(least) * PART * GIVES_WAY.powi(before);
         Some((all - self.base_ms(priority)).max(all * LEAST))
     }
 
--- a/components/routing/src/admission/retry_after.rs
+++ b/components/routing/src/admission/retry_after.rs
@@ -2,7 +2,7 @@
 
 use clock::Millis;
 
-use crate::beliefs::outlook::ms;
+use crate::beliefs::outlook::millis_to_f64;
 
 /// After how long a completion counts half, in milliseconds.
 const HALF_LIFE_MS: f64 = 2_000.0;
@@ -52,7 +52,7 @@
             self.booked = (earliest + self.gap(now)).min(latest);
             return now.until(self.booked);
         }
-        let gap = ms(self.gap(now)) * times;
+        let gap = millis_to_f64(self.gap(now)) * times;
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
@@ -70,10 +70,10 @@
         let Some(since) = self.since else {
             return Millis::ZERO;
         };
-        let age = ms(since.until(now)).max(LEAST_AGE_MS);
+        let age = millis_to_f64(since.until(now)).max(LEAST_AGE_MS);
         let seen = 1.0 - 0.5_f64.powf(age / HALF_LIFE_MS);
         let rate = self.completed(now) / seen * std::f64::consts::LN_2 / HALF_LIFE_MS;
-        let gap = (1.0 / (SHARE * rate)).min(ms(LONGEST));
+        let gap = (1.0 / (SHARE * rate)).min(millis_to_f64(LONGEST));
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
@@ -84,6 +84,6 @@
     }
 
     fn completed(&self, now: Millis) -> f64 {
-        self.completed * 0.5_f64.powf(ms(self.at.until(now)) / HALF_LIFE_MS)
+        self.completed * 0.5_f64.powf(millis_to_f64(self.at.until(now)) / HALF_LIFE_MS)
     }
 }
--- a/components/routing/src/beliefs/cold.rs
+++ b/components/routing/src/beliefs/cold.rs
@@ -55,7 +55,7 @@
 
 impl Members {
     /// Takes the routers that have announced themselves.
-    fn take(&mut self, own: Arc<str>, announced: BTreeSet<Arc<str>>, now: Millis) {
+    fn update(&mut self, own: Arc<str>, announced: BTreeSet<Arc<str>>, now: Millis) {
         let left = self.announced.difference(&announced).map(|it| (it.clone(), now));
         self.gone.extend(left);
         self.gone.retain(|(name, at)| at.until(now) < LINGERS && !announced.contains(name));
@@ -70,7 +70,7 @@
     }
 
     /// What tells this router from the others, once its name is known.
-    pub(crate) fn seat(&self) -> Option<u64> {
+    pub(crate) fn router_key(&self) -> Option<u64> {
         (!self.own.is_empty()).then(|| key("seat", &self.own))
     }
 
@@ -90,7 +90,7 @@
 
 /// How cold an upstream is, and what this router may send there.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Cold {
+pub(crate) struct ColdStart {
     /// Until when it is cold.
     until: Millis,
     /// How many requests this router may send in a window.
@@ -99,7 +99,7 @@
     sent: VecDeque<Millis>,
 }
 
-impl Cold {
+impl ColdStart {
     /// Whether the upstream is cold.
     pub(crate) fn is_cold(&self, now: Millis) -> bool {
         self.until > now
@@ -111,7 +111,7 @@
     }
 
     /// Whether this router may send nothing there now.
-    pub(crate) fn is_used_up(&self, now: Millis) -> bool {
+    pub(crate) fn is_exhausted(&self, now: Millis) -> bool {
         let sent = self.sent.iter().filter(|it| it.until(now) < WINDOW).count();
         self.is_cold(now) && sent >= self.part as usize
     }
@@ -122,7 +122,7 @@
     }
 
     /// Notes that a request is sent there.
-    pub(crate) fn send(&mut self, now: Millis) {
+    pub(crate) fn record_sent(&mut self, now: Millis) {
         while self.sent.front().is_some_and(|it| it.until(now) >= WINDOW) {
             self.sent.pop_front();
         }
@@ -144,53 +144,58 @@
 
 impl State {
     /// Takes the routers that have announced themselves; `own` is this one.
-    pub(crate) fn meet(&mut self, own: Arc<str>, announced: BTreeSet<Arc<str>>, now: Millis) {
-        self.members.take(own, announced, now);
-        self.deal(now);
+    pub(crate) fn update_members(
+        &mut self,
+        own: Arc<str>,
+        announced: BTreeSet<Arc<str>>,
+        now: Millis,
+    ) {
+        self.members.update(own, announced, now);
+        self.allocate_quotas(now);
     }
 
     /// Takes that an upstream is cold for `left` from now on.
-    pub(crate) fn chill(&mut self, upstream: &str, left: Millis, now: Millis) {
+    pub(crate) fn mark_cold(&mut self, upstream: &str, left: Millis, now: Millis) {
         let Some(plan) = self.plan.clone() else { return };
         if let Some(it) = self.upstreams.get_mut(upstream) {
-            it.cold.lasts(now + left);
-            it.cold.part = part(it, &plan, &self.settings, &self.members, now);
+            it.cold_start.lasts(now + left);
+            it.cold_start.part = part(it, &plan, &self.settings, &self.members, now);
         }
     }
 
     /// Takes that upstreams of failure domains that take work again may be cold, as long as
     /// their pools stay so: what they tell of themselves comes later.
-    pub(crate) fn chill_domains(&mut self, domains: &BTreeSet<Arc<str>>, now: Millis) {
+    pub(crate) fn mark_domains_cold(&mut self, domains: &BTreeSet<Arc<str>>, now: Millis) {
         let Some(plan) = self.plan.clone() else { return };
         for it in self.upstreams.values_mut().filter(|it| domains.contains(&it.host.domain)) {
             let lasts = plan.pool(&it.pool()).map_or(Millis::ZERO, |pool| Millis(pool.cold_ms));
-            it.cold.lasts(now + lasts);
+            it.cold_start.lasts(now + lasts);
         }
-        self.deal(now);
+        self.allocate_quotas(now);
     }
 
     /// Deals out anew what this router may send to upstreams that are cold.
-    pub(crate) fn deal(&mut self, now: Millis) {
+    pub(crate) fn allocate_quotas(&mut self, now: Millis) {
         let Some(plan) = self.plan.clone() else { return };
-        for it in self.upstreams.values_mut().filter(|it| it.cold.is_cold(now)) {
-            it.cold.part = part(it, &plan, &self.settings, &self.members, now);
+        for it in self.upstreams.values_mut().filter(|it| it.cold_start.is_cold(now)) {
+            it.cold_start.part = part(it, &plan, &self.settings, &self.members, now);
         }
     }
 
     /// Whether this router's part of what cold upstreams bear counts now.
-    pub(crate) fn takes_part(&self, now: Millis) -> bool {
+    pub(crate) fn has_valid_quota(&self, now: Millis) -> bool {
         let proved = self.confirmed_at.is_some_and(|at| at.until(now) <= PROOF);
         proved && self.members.are_settled(now)
     }
 
     /// When the first of the upstreams of a pool that are cold or rest takes a request of this
     /// router, from now on; none if there is none.
-    pub(crate) fn opens_in(&self, pool: &str, now: Millis) -> Option<Millis> {
+    pub(crate) fn available_in(&self, pool: &str, now: Millis) -> Option<Millis> {
         let opens = |it: &&Upstream| {
-            let later = it.cold.is_cold(now) || it.word.rests(now);
+            let later = it.cold_start.is_cold(now) || it.notice.is_backing_off(now);
             later && !it.is_leaving() && !it.evacuated && &*it.pool() == pool
         };
-        let opens_in = |it: &Upstream| it.cold.opens_in(now).max(it.word.rest(now));
+        let opens_in = |it: &Upstream| it.cold_start.opens_in(now).max(it.notice.backoff(now));
         self.upstreams.values().filter(opens).map(opens_in).min()
     }
 }
--- a/components/routing/src/beliefs/evacuation.rs
+++ b/components/routing/src/beliefs/evacuation.rs
@@ -11,11 +11,15 @@
 impl State {
     /// Takes the failure domains that are to take nothing; all others may take work. Upstreams
     /// of those that come back have had no requests and may be cold.
-    pub(crate) fn evacuate(&mut self, domains: BTreeSet<Arc<str>>, now: Millis) -> Vec<Effect> {
+    pub(crate) fn set_evacuated(
+        &mut self,
+        domains: BTreeSet<Arc<str>>,
+        now: Millis,
+    ) -> Vec<Effect> {
         let before = std::mem::replace(&mut self.evacuated, domains);
         let restored = before.difference(&self.evacuated).cloned().collect();
         self.mark_evacuated();
-        self.chill_domains(&restored, now);
+        self.mark_domains_cold(&restored, now);
         Vec::new()
     }
 
--- a/components/routing/src/beliefs/fleet.rs
+++ b/components/routing/src/beliefs/fleet.rs
@@ -30,7 +30,7 @@
 
 impl State {
     /// Takes the list of upstreams: what is known of those that stay is kept.
-    pub(crate) fn hosts(&mut self, hosts: Vec<Host>, now: Millis) -> Vec<Effect> {
+    pub(crate) fn set_hosts(&mut self, hosts: Vec<Host>, now: Millis) -> Vec<Effect> {
         self.index.clear();
         let mut known = std::mem::take(&mut self.upstreams);
         for host in hosts {
@@ -38,7 +38,7 @@
             let mut upstream = known
                 .swap_remove(&host.name)
                 .unwrap_or_else(|| Upstream::new(host.clone(), labels.clone()));
-            upstream.list(host, labels);
+            upstream.update_host(host, labels);
             if self.settings.path.trusts_listing() {
                 upstream.connected = true;
                 upstream.incarnation = DIRECT_LIFE;
@@ -47,17 +47,17 @@
         }
         let gone = known.into_values().filter(|it| !it.is_leaving());
         for upstream in gone {
-            self.end_upstream(&upstream.host.name, now);
+            self.record_crash(&upstream.host.name, now);
         }
         self.mark_evacuated();
-        self.recall_words();
-        self.deal(now);
-        self.connects(now)
+        self.restore_notices();
+        self.allocate_quotas(now);
+        self.connect(now)
     }
 
     /// The connections to open next, a few at a time, so that a region that
     /// comes back is not met by all at once.
-    pub(crate) fn connects(&self, now: Millis) -> Vec<Effect> {
+    pub(crate) fn connect(&self, now: Millis) -> Vec<Effect> {
         self.upstreams
             .values()
             .filter(|upstream| !upstream.connected && !upstream.is_suspect(now))
@@ -70,15 +70,15 @@
     }
 
     /// Takes the welcome of a sidecar.
-    pub(crate) fn met(&mut self, welcome: &Welcome, now: Millis) -> Vec<Effect> {
+    pub(crate) fn record_connected(&mut self, welcome: &Welcome, now: Millis) -> Vec<Effect> {
         if let Some(upstream) = self.upstreams.get_mut(&welcome.name) {
-            upstream.hear(welcome.status, now);
+            upstream.record_status(welcome.status, now);
         }
         Vec::new()
     }
 
     /// Takes the load that an answer told of its upstream, in requests.
-    pub(crate) fn load(
+    pub(crate) fn record_load(
         &mut self,
         upstream: &str,
         requests: u64,
@@ -88,46 +88,51 @@
         let Some(upstream) = self.upstreams.get_mut(upstream) else {
             return Vec::new();
         };
-        upstream.tell(requests, waiting, now);
-        upstream.heard_load = Some((requests, waiting, now));
+        upstream.record_load(requests, waiting, now);
+        upstream.unreported_load = Some((requests, waiting, now));
         let mean = self.mean_loads.entry(upstream.pool()).or_default();
-        *mean = outlook::average(*mean, requests);
+        *mean = outlook::update_mean(*mean, requests);
         Vec::new()
     }
 
     /// Takes the status that a sidecar told with a reply.
-    pub(crate) fn hear(&mut self, id: u64, status: Status, now: Millis) {
+    pub(crate) fn record_status(&mut self, id: u64, status: Status, now: Millis) {
         let name = self.requests.get(&id).and_then(|it| it.upstream());
         let told = self.settings.path.has_sidecars();
         if let Some(upstream) = name.and_then(|it| self.upstreams.get_mut(it)).filter(|_| told) {
-            upstream.hear(status, now);
+            upstream.record_status(status, now);
         }
     }
 
     /// Something came from an upstream: it is no longer left alone.
-    pub(crate) fn alive(&mut self, upstream: &str) -> Vec<Effect> {
+    pub(crate) fn record_alive(&mut self, upstream: &str) -> Vec<Effect> {
         if let Some(it) = self.upstreams.get_mut(upstream) {
             if it.suspect_until > Millis::ZERO {
                 self.pending_effects.push(Effect::Recovered { upstream: it.host.name.clone() });
             }
-            it.revive();
+            it.mark_connected();
         }
         Vec::new()
     }
 
     /// An upstream could not be connected to.
-    pub(crate) fn missed(&mut self, upstream: &str, now: Millis) -> Vec<Effect> {
+    pub(crate) fn record_unreachable(&mut self, upstream: &str, now: Millis) -> Vec<Effect> {
         if let Some(it) = self.upstreams.get_mut(upstream) {
             it.reachable = false;
         }
-        self.suspect(upstream, now);
+        self.mark_suspect(upstream, now);
         Vec::new()
     }
 
     /// One broken connection says little about an upstream that is reached
     /// directly: it is left alone only when the next one breaks too, or none can
     /// be opened.
-    pub(crate) fn blame(&mut self, upstream: &Arc<str>, sent: bool, now: Millis) {
+    pub(crate) fn record_connection_failure(
+        &mut self,
+        upstream: &Arc<str>,
+        sent: bool,
+        now: Millis,
+    ) {
         if let Some(it) = self.upstreams.get_mut(upstream).filter(|_| !sent) {
             it.reachable = false;
         }
@@ -135,19 +140,19 @@
             Some(it) if it.failures == 0 && sent && self.settings.path.tolerates_one_failure() => {
                 it
             }
-            _ => return self.suspect(upstream, now),
+            _ => return self.mark_suspect(upstream, now),
         };
         first.failures = 1;
     }
 
     /// Another upstream answers at the address of the one that was meant, which
     /// has ended: the list will drop it soon.
-    pub(crate) fn replaced(&mut self, id: u64, now: Millis) {
+    pub(crate) fn mark_replaced(&mut self, id: u64, now: Millis) {
         let until = now + Millis(self.settings.suspect_max_ms);
         let name = self.requests.get(&id).and_then(|it| it.upstream());
         if let Some(upstream) = name.and_then(|it| self.upstreams.get_mut(it)) {
             upstream.suspect_until = until;
-            self.pending_effects.push(upstream.suspicion());
+            self.pending_effects.push(upstream.suspect_effect());
         }
     }
 
@@ -155,19 +160,19 @@
     /// does so again before it answers: a refused request is no load there, so that it would look
     /// idle and draw more than the others. With a third of the upstreams turning all away for 8 s
     /// at a time, 1 to 5 in 1,000 requests are refused in place of 30 to 39.
-    pub(crate) fn turned_away(&mut self, id: u64, now: Millis) {
+    pub(crate) fn record_refusal(&mut self, id: u64, now: Millis) {
         let name = self.requests.get(&id).and_then(|it| it.upstream()).cloned();
-        if let Some(name) = name.filter(|it| !self.takes_nothing(it, now)) {
-            self.suspect(&name, now);
+        if let Some(name) = name.filter(|it| !self.is_closed(it, now)) {
+            self.mark_suspect(&name, now);
         }
     }
 
     /// Leaves an upstream alone for a while that failed.
-    pub(crate) fn suspect(&mut self, upstream: &str, now: Millis) {
+    pub(crate) fn mark_suspect(&mut self, upstream: &str, now: Millis) {
         let jitter = self.rng.random::<f64>();
         if let Some(upstream) = self.upstreams.get_mut(upstream) {
-            upstream.miss(&self.settings, jitter, now);
-            self.pending_effects.push(upstream.suspicion());
+            upstream.mark_suspect(&self.settings, jitter, now);
+            self.pending_effects.push(upstream.suspect_effect());
         }
     }
 }
--- a/components/routing/src/beliefs/health.rs
+++ b/components/routing/src/beliefs/health.rs
@@ -23,71 +23,77 @@
 /// The outcomes of requests, fading with time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Health {
-    good: f64,
-    bad: f64,
+    successes: f64,
+    failures: f64,
     at: Millis,
     /// Own outcomes of which other routers have not been told, good and bad.
-    untold: (u32, u32),
+    unreported: (u32, u32),
 }
 
 /// Outcomes as they count at one time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Outcomes {
-    pub good: f64,
-    pub bad: f64,
+    pub successes: f64,
+    pub failures: f64,
 }
 
 impl Health {
     /// Takes an outcome.
-    pub(crate) fn note(&mut self, good: bool, now: Millis) {
+    pub(crate) fn record(&mut self, good: bool, now: Millis) {
         let (good, bad) = if good { (1, 0) } else { (0, 1) };
-        self.hear(good, bad, now);
-        self.untold = (self.untold.0 + good, self.untold.1 + bad);
+        self.add(good, bad, now);
+        self.unreported = (self.unreported.0 + good, self.unreported.1 + bad);
     }
 
     /// Takes outcomes that another router has told of.
-    pub(crate) fn hear(&mut self, good: u32, bad: u32, now: Millis) {
+    pub(crate) fn add(&mut self, good: u32, bad: u32, now: Millis) {
         let known = self.outcomes(now);
-        self.good = known.good + f64::from(good);
-        self.bad = known.bad + f64::from(bad);
+        self.successes = known.successes + f64::from(good);
+        self.failures = known.failures + f64::from(bad);
         self.at = now;
     }
 
     /// The own outcomes since this was asked last, if there are any.
-    pub(crate) fn tell(&mut self) -> Option<(u32, u32)> {
-        let untold = std::mem::take(&mut self.untold);
-        (untold != (0, 0)).then_some(untold)
+    pub(crate) fn take_unreported(&mut self) -> Option<(u32, u32)> {
+        let unreported = std::mem::take(&mut self.unreported);
+        (unreported != (0, 0)).then_some(unreported)
     }
 
     /// What the outcomes count at `now`.
     pub(crate) fn outcomes(&self, now: Millis) -> Outcomes {
         #[expect(clippy::cast_precision_loss, reason = "ages stay far below 2^53")]
         let kept = 0.5_f64.powf(self.at.until(now).0 as f64 / HALF_LIFE_MS);
-        Outcomes { good: self.good * kept, bad: self.bad * kept }
+        Outcomes { successes: self.successes * kept, failures: self.failures * kept }
     }
 }
 
 impl Outcomes {
     /// These and `other`.
-    pub(crate) fn and(self, other: Self) -> Self {
-        Self { good: self.good + other.good, bad: self.bad + other.bad }
+    pub(crate) fn merge(self, other: Self) -> Self {
+        Self {
+            successes: self.successes + other.successes,
+            failures: self.failures + other.failures,
+        }
     }
 
     /// The share that failed; zero without any.
-    fn share(self) -> f64 {
-        let all = self.good + self.bad;
-        if all > 0.0 { self.bad / all } else { 0.0 }
+    fn failure_ratio(self) -> f64 {
+        let all = self.successes + self.failures;
+        if all > 0.0 { self.failures / all } else { 0.0 }
     }
 
     /// Whether these are clearly worse than those of the rest of `pool`, which holds
     /// these too.
-    pub(crate) fn are_poor(self, pool: Self) -> bool {
-        let rest = Self { good: pool.good - self.good, bad: pool.bad - self.bad };
-        let (count, usual) = (self.good + self.bad, rest.share());
+    pub(crate) fn is_worse_than(self, pool: Self) -> bool {
+        let rest = Self {
+            successes: pool.successes - self.successes,
+            failures: pool.failures - self.failures,
+        };
+        let (count, usual) = (self.successes + self.failures, rest.failure_ratio());
         if usual > MOST_USUAL {
             return false;
         }
         let spread = (count * usual * (1.0 - usual)).max(0.0).sqrt();
-        self.bad >= count * usual + DEVIATIONS * spread + EXCESS
+        self.failures >= count * usual + DEVIATIONS * spread + EXCESS
     }
 }
--- a/components/routing/src/beliefs/listing.rs
+++ b/components/routing/src/beliefs/listing.rs
@@ -12,7 +12,7 @@
 /// How long after an outage of the store upstreams are still taken to live whose
 /// entries are missing. An entry lapses when its upstream can't renew it; those
 /// that live are back within about two seconds, as the platform says.
-pub const RETURN: Millis = Millis(2_000);
+pub const MISSING_TTL: Millis = Millis(2_000);
 
 /// The most entries that are remembered after they were removed: about 0.4 MB.
 const MOST_REMOVED: usize = 4_096;
@@ -48,19 +48,19 @@
 impl Listing {
     /// The store answers again after it did not. What is missing from its first
     /// answer may have lapsed; what goes later has really gone.
-    pub fn came_back(&mut self, now: Millis) {
+    pub fn begin_recovery(&mut self, now: Millis) {
         self.returned = Some(now);
     }
 
     /// The store holds an older copy of itself: what is missing from its first answer may be
     /// written again, and what had been removed may stand there once more.
-    pub fn came_back_older(&mut self, now: Millis) {
+    pub fn begin_restored_recovery(&mut self, now: Millis) {
         self.returned = Some(now);
         self.older = true;
     }
 
     /// The first answer after an outage has been taken.
-    pub fn settle(&mut self) {
+    pub fn finish_recovery(&mut self) {
         self.returned = None;
         self.older = false;
     }
@@ -113,20 +113,20 @@
             return self.forget(name);
         };
         if let Some(entry) = self.hosts.get_mut(name) {
-            entry.gone_at = Some(returned + RETURN);
+            entry.gone_at = Some(returned + MISSING_TTL);
         }
         false
     }
 
     /// Takes that an entry was missing when the store answered others again after an outage.
-    pub fn miss(&mut self, name: &str, now: Millis) {
+    pub fn mark_missing(&mut self, name: &str, now: Millis) {
         if let Some(entry) = self.hosts.get_mut(name) {
-            entry.gone_at.get_or_insert(now + RETURN);
+            entry.gone_at.get_or_insert(now + MISSING_TTL);
         }
     }
 
     /// Whether what is missing now may come back.
-    pub fn is_returning(&self) -> bool {
+    pub fn is_recovering(&self) -> bool {
         self.returned.is_some()
     }
 
@@ -145,10 +145,10 @@
 
     /// Takes what was remembered of the list: upstreams that are missing from it may
     /// have lapsed, and have time to come back. Returns whether there were any.
-    pub fn remember(&mut self, hosts: Vec<Host>, now: Millis) -> bool {
+    pub fn restore(&mut self, hosts: Vec<Host>, now: Millis) -> bool {
         let before = self.hosts.len();
         for host in hosts {
-            let gone_at = Some(now + RETURN);
+            let gone_at = Some(now + MISSING_TTL);
             let entry = Entry { host, sequence: 0, gone_at };
             self.hosts.entry(entry.host.entry().clone()).or_insert(entry);
         }
@@ -156,7 +156,7 @@
     }
 
     /// Whether some upstreams are only taken to live for a while.
-    pub fn is_in_doubt(&self) -> bool {
+    pub fn has_expiring(&self) -> bool {
         self.next_expiry().is_some()
     }
 
--- a/components/routing/src/beliefs/outlook.rs
+++ b/components/routing/src/beliefs/outlook.rs
@@ -24,29 +24,29 @@
 
 /// The point of view of a router at one time.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Outlook {
+pub(crate) struct Estimate {
     pub path: Path,
     pub now: Millis,
     /// How many routers share the upstreams.
     pub routers: f64,
     /// What tells this router from the others, once it is known.
-    pub seat: Option<u64>,
+    pub router_key: Option<u64>,
     /// The load of an upstream of the pool on the mean, as answers tell it.
-    pub mean: f64,
+    pub mean_load: f64,
     /// Whether other routers tell their loads.
-    pub known: bool,
+    pub loads_known: bool,
     /// Whether other routers tell what answers tell them of loads.
-    pub told: bool,
+    pub observations_shared: bool,
     /// Whether this router's part of what cold upstreams bear counts.
-    pub takes_part: bool,
+    pub quota_valid: bool,
 }
 
-impl Outlook {
+impl Estimate {
     /// Whether what was heard of the room of upstreams is dealt out among the routers: all
     /// hear of it alike, and none of what the others send.
-    pub(crate) fn deals(&self, settings: &Settings) -> bool {
-        let counts = self.told && !self.known && !self.path.has_sidecars();
-        settings.mechanisms.dealt_room && counts && self.seat.is_some()
+    pub(crate) fn is_allocating(&self, settings: &Settings) -> bool {
+        let counts = self.observations_shared && !self.loads_known && !self.path.has_sidecars();
+        settings.mechanisms.dealt_room && counts && self.router_key.is_some()
     }
 
     /// How many routers share the upstreams.
@@ -64,14 +64,14 @@
     ///
     /// What was heard fades into what is to be expected: the more of this
     /// router's requests go there, the more of the others' do.
-    pub(crate) fn others(&self, own: f64, told: f64, then: Millis) -> f64 {
+    pub(crate) fn other_load(&self, own: f64, told: f64, then: Millis) -> f64 {
         let fresh = self.fresh(then);
         fresh * told + (1.0 - fresh) * self.expected(own)
     }
 
     /// What is left of the waiting that an answer told of at `then`, where all routers tell
     /// what they hear: an upstream of which nothing is heard has little.
-    pub(crate) fn left(&self, told: f64, then: Millis) -> f64 {
+    pub(crate) fn remaining(&self, told: f64, then: Millis) -> f64 {
         self.fresh(then) * told
     }
 
@@ -81,36 +81,36 @@
     /// With the others' expected load in its place, upstreams that are new or back and have
     /// nothing yet raise the mean and with it the load bound: after 45 in 100 had come back,
     /// 282 of 6,732 requests within 5 s went beyond the rule.
-    pub(crate) fn stands(&self, told: f64, then: Millis) -> f64 {
+    pub(crate) fn load_for_mean(&self, told: f64, then: Millis) -> f64 {
         self.fresh(then + STANDS) * told
     }
 
     /// How much of what was heard at `then` still counts.
     fn fresh(&self, then: Millis) -> f64 {
-        0.5_f64.powf(ms(then.until(self.now)) / HALF_LIFE_MS)
+        0.5_f64.powf(millis_to_f64(then.until(self.now)) / HALF_LIFE_MS)
     }
 
     fn expected(&self, own: f64) -> f64 {
-        if self.mean <= 0.0 {
+        if self.mean_load <= 0.0 {
             return 0.0;
         }
-        let rate = (SHAPE + own) / (SHAPE * self.routers / self.mean + 1.0);
+        let rate = (SHAPE + own) / (SHAPE * self.routers / self.mean_load + 1.0);
         (self.routers - 1.0) * rate
     }
 }
 
 /// The mean that answers tell of, after one more tells of `load`. The request
 /// that was answered is left out: it would not be there without the answer.
-pub(crate) fn average(mean: f64, load: u64) -> f64 {
-    mean + NEWEST * (count(load.saturating_sub(1)) - mean)
+pub(crate) fn update_mean(mean: f64, load: u64) -> f64 {
+    mean + NEWEST * (to_f64(load.saturating_sub(1)) - mean)
 }
 
 #[expect(clippy::cast_precision_loss, reason = "loads stay far below 2^53")]
-pub(crate) fn count(load: u64) -> f64 {
+pub(crate) fn to_f64(load: u64) -> f64 {
     load as f64
 }
 
 #[expect(clippy::cast_precision_loss, reason = "ages stay far below 2^53")]
-pub(crate) fn ms(age: Millis) -> f64 {
+pub(crate) fn millis_to_f64(age: Millis) -> f64 {
     age.0 as f64
 }
--- a/components/routing/src/beliefs/room.rs
+++ b/components/routing/src/beliefs/room.rs
@@ -9,14 +9,14 @@
 use clock::Millis;
 use placement::{Bound, Pool, digest};
 
-use crate::beliefs::outlook::Outlook;
+use crate::beliefs::outlook::Estimate;
 use crate::beliefs::upstream::Upstream;
 
 /// In a pool of which one member in so many takes nothing, room is dealt out.
 const SHORT: usize = 4;
 
 /// Whether so much of a pool takes nothing that what comes crowds at the others.
-pub(crate) fn is_short<'a>(members: impl Iterator<Item = &'a Upstream>, now: Millis) -> bool {
+pub(crate) fn is_degraded<'a>(members: impl Iterator<Item = &'a Upstream>, now: Millis) -> bool {
     let shut = |it: &Upstream| it.evacuated || it.is_cold(now);
     let count =
         |(all, some): (usize, usize), it: &Upstream| (all + 1, some + usize::from(shut(it)));
@@ -26,30 +26,35 @@
 
 /// How the room of a pool's upstreams is dealt out.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Deal {
+pub(crate) struct Allocation {
     pub pool: Pool,
     pub bound: Bound,
 }
 
-impl Deal {
+impl Allocation {
     /// Whether this router's part of the room that was heard of leaves none for a request of
     /// `weight`. All may send to an upstream that is far from its bound, and in a pool that
     /// is nearly idle.
-    pub(crate) fn leaves_none(&self, upstream: &Upstream, weight: u64, outlook: &Outlook) -> bool {
-        let load = upstream.load_at(outlook);
+    pub(crate) fn is_exhausted(
+        &self,
+        upstream: &Upstream,
+        weight: u64,
+        estimate: &Estimate,
+    ) -> bool {
+        let load = upstream.estimated_load(estimate);
         let ceiling = self.bound.ceiling(self.pool, weight);
         if ceiling <= self.bound.floor || self.is_far(load, ceiling) {
             return false;
         }
-        let heard = upstream.heard_at();
+        let heard = upstream.observed_at();
         // Plain services tell no loads: their room is not known to any router.
         if heard == Millis::ZERO {
             return false;
         }
-        let sent = upstream.cold.sent_since(heard);
+        let sent = upstream.cold_start.sent_since(heard);
         let room = ceiling.saturating_sub(load) + sent;
-        let routers = outlook.router_count();
-        sent * routers + draw(upstream.name(), heard, outlook) % routers >= room
+        let routers = estimate.router_count();
+        sent * routers + draw(upstream.name(), heard, estimate) % routers >= room
     }
 
     /// Whether `load` is within the first third of the way from the mean to the bound: no more
@@ -61,7 +66,7 @@
 }
 
 /// This router's draw among all for what was heard of `upstream` at `heard`.
-fn draw(upstream: &str, heard: Millis, outlook: &Outlook) -> u64 {
-    let seat = outlook.seat.unwrap_or_default();
+fn draw(upstream: &str, heard: Millis, estimate: &Estimate) -> u64 {
+    let seat = estimate.router_key.unwrap_or_default();
     digest(&[upstream.as_bytes(), &seat.to_le_bytes(), &heard.0.to_le_bytes()])
 }
--- a/components/routing/src/beliefs/warmth.rs
+++ b/components/routing/src/beliefs/warmth.rs
@@ -27,7 +27,7 @@
 /// Which upstreams have read which parts. What an upstream has dropped since is
 /// not known; a copy that is asked for in vain costs next to nothing.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Warmth {
+pub(crate) struct PrefixIndex {
     /// For each part, what is known of upstreams, the latest last.
     places: HashMap<u64, Vec<Place>>,
     /// The parts, the one that came first first.
@@ -36,10 +36,10 @@
     changes: u64,
 }
 
-impl Warmth {
+impl PrefixIndex {
     /// Notes that `upstream` has read `parts`; returns those that it was not
     /// known to have read.
-    pub(crate) fn read(&mut self, parts: &[u64], upstream: &Arc<str>) -> Vec<u64> {
+    pub(crate) fn record_read(&mut self, parts: &[u64], upstream: &Arc<str>) -> Vec<u64> {
         let fresh = parts.iter().copied().filter(|it| !self.holds(*it, upstream)).collect();
         self.note(parts, upstream, None);
         fresh
@@ -47,7 +47,12 @@
 
     /// Notes that `upstream` begins to read `parts`; returns those that it was
     /// neither known to have read nor to be reading.
-    pub(crate) fn begin(&mut self, parts: &[u64], upstream: &Arc<str>, now: Millis) -> Vec<u64> {
+    pub(crate) fn record_reading(
+        &mut self,
+        parts: &[u64],
+        upstream: &Arc<str>,
+        now: Millis,
+    ) -> Vec<u64> {
         let known = |it: &u64| self.holds(*it, upstream) || self.is_reading(*it, upstream, now);
         let fresh: Vec<u64> = parts.iter().copied().filter(|it| !known(it)).collect();
         self.note(&fresh, upstream, Some(now));
@@ -79,13 +84,13 @@
     }
 
     /// The upstreams that have read `part`, the latest first.
-    pub(crate) fn places(&self, part: u64) -> impl Iterator<Item = &Arc<str>> {
+    pub(crate) fn holders(&self, part: u64) -> impl Iterator<Item = &Arc<str>> {
         self.known(part).rev().filter(|it| it.reading.is_none()).map(|it| &it.upstream)
     }
 
     /// Whether `upstream` has read `part`.
     pub(crate) fn holds(&self, part: u64, upstream: &str) -> bool {
-        self.places(part).any(|it| &**it == upstream)
+        self.holders(part).any(|it| &**it == upstream)
     }
 
     /// Whether `upstream` is reading `part`.
@@ -102,7 +107,7 @@
     /// Which parts each upstream has read: `most` in all, those of the latest parts.
     pub(crate) fn latest(&self, most: usize) -> BTreeMap<Arc<str>, Vec<u64>> {
         let parts = self.order.iter().rev();
-        let holdings = parts.flat_map(|part| self.places(*part).map(move |it| (it, *part)));
+        let holdings = parts.flat_map(|part| self.holders(*part).map(move |it| (it, *part)));
         let mut held: BTreeMap<Arc<str>, Vec<u64>> = BTreeMap::new();
         for (upstream, part) in holdings.take(most) {
             held.entry(upstream.clone()).or_default().push(part);
--- a/components/routing/src/event.rs
+++ b/components/routing/src/event.rs
@@ -11,7 +11,7 @@
     Refused, WarmPrefixes, Welcome,
 };
 
-use crate::{Check, Crash, Settings};
+use crate::{Crash, Liveness, Settings};
 
 /// Something that happened.
 #[derive(Clone, Debug)]
@@ -184,7 +184,7 @@
         /// The upstream.
         upstream: Arc<str>,
         /// What was found.
-        check: Check,
+        check: Liveness,
     },
     /// The pause of a request that waits is over.
     WaitElapsed {
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -16,7 +16,7 @@
 mod settings;
 mod state;
 
-pub use beliefs::listing::{Listing, RETURN};
+pub use beliefs::listing::{Listing, MISSING_TTL};
 pub use beliefs::upstream::Upstream;
 pub use effect::{Attempt, Effect};
 pub use event::{Arrival, Event, Host, IdempotencyKey, Owner, Prefix, Reply};
@@ -24,7 +24,7 @@
 pub use path::Path;
 pub use placement::Bound;
 pub use recovery::budget::Budget;
-pub use recovery::quarantine::{Check, Crash};
+pub use recovery::quarantine::{Crash, Liveness};
 pub use requests::decision::{Decision, Exclusion, Try};
 pub use settings::{Policy, Settings};
 pub use shares::{Rank, Standing};
--- a/components/routing/src/recovery/budget.rs
+++ b/components/routing/src/recovery/budget.rs
@@ -16,7 +16,7 @@
     }
 
     /// Changes what is earned and how much may be saved up.
-    pub fn change(&mut self, share: f64, burst: f64) {
+    pub fn set_limits(&mut self, share: f64, burst: f64) {
         self.share = share;
         self.burst = burst;
         self.saved = self.saved.min(burst);
--- a/components/routing/src/recovery/quarantine.rs
+++ b/components/routing/src/recovery/quarantine.rs
@@ -37,7 +37,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
     /// The hash of the work that the request asked for.
-    pub content: u64,
+    #[serde(rename = "content")]
+    pub fingerprint: u64,
     /// The upstream, by the name of one start.
     pub upstream: Arc<str>,
     /// When the end was learnt, in milliseconds since the Unix epoch.
@@ -50,18 +51,18 @@
 
 impl Crash {
     /// Says at `at` that work is cleared.
-    pub fn clearing(content: u64, at: Millis) -> Self {
-        Self { content, upstream: "".into(), at, cleared: true }
+    pub fn cleared(fingerprint: u64, at: Millis) -> Self {
+        Self { fingerprint, upstream: "".into(), at, cleared: true }
     }
 }
 
 /// Whether an upstream still takes connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Check {
+pub enum Liveness {
     /// A connection could be opened.
-    Stands,
+    Alive,
     /// Its host says that nobody listens there.
-    Ended,
+    Dead,
     /// Nothing came back.
     Unknown,
 }
@@ -90,12 +91,12 @@
 }
 
 impl Recent {
-    /// Remembers `content`, and no more than `most` works.
-    fn put(&mut self, content: u64, most: usize) {
-        if !self.known.insert(content) {
+    /// Remembers `fingerprint`, and no more than `most` works.
+    fn put(&mut self, fingerprint: u64, most: usize) {
+        if !self.known.insert(fingerprint) {
             return;
         }
-        self.order.push_back(content);
+        self.order.push_back(fingerprint);
         if self.order.len() > most
             && let Some(oldest) = self.order.pop_front()
         {
@@ -103,18 +104,18 @@
         }
     }
 
-    fn has(&self, content: u64) -> bool {
-        self.known.contains(&content)
+    fn has(&self, fingerprint: u64) -> bool {
+        self.known.contains(&fingerprint)
     }
 }
 
 impl Quarantine {
-    /// Remembers that `content` broke off at `upstream`.
-    fn doubt(&mut self, content: u64, upstream: &Arc<str>, now: Millis) {
+    /// Remembers that `fingerprint` broke off at `upstream`.
+    fn doubt(&mut self, fingerprint: u64, upstream: &Arc<str>, now: Millis) {
         let doubts = self.doubts.entry(upstream.clone()).or_default();
-        doubts.retain(|(it, at)| *it != content && at.until(now) < DOUBT);
+        doubts.retain(|(it, at)| *it != fingerprint && at.until(now) < DOUBT);
         if doubts.len() < MOST_DOUBTS {
-            doubts.push((content, now));
+            doubts.push((fingerprint, now));
         }
     }
 
@@ -122,15 +123,15 @@
     fn settle(&mut self, upstream: &str, now: Millis) -> Vec<u64> {
         let doubts = self.doubts.remove(upstream).unwrap_or_default();
         let recent = doubts.into_iter().filter(|(_, at)| at.until(now) < DOUBT);
-        recent.map(|(content, _)| content).collect()
+        recent.map(|(fingerprint, _)| fingerprint).collect()
     }
 
     /// Takes an end. Returns under how many ends the work was then, if this one is new.
     fn learn(&mut self, crash: Crash) -> Option<usize> {
-        if self.crashes.len() >= MOST_WORKS && !self.crashes.contains_key(&crash.content) {
+        if self.crashes.len() >= MOST_WORKS && !self.crashes.contains_key(&crash.fingerprint) {
             self.drop_oldest();
         }
-        let known = self.crashes.entry(crash.content).or_default();
+        let known = self.crashes.entry(crash.fingerprint).or_default();
         if known.iter().any(|it| it.upstream == crash.upstream) {
             return None;
         }
@@ -140,17 +141,17 @@
 
     fn drop_oldest(&mut self) {
         let oldest = self.crashes.iter().min_by_key(|(_, it)| latest(it)).map(|(it, _)| *it);
-        if let Some(content) = oldest {
-            self.crashes.remove(&content);
+        if let Some(fingerprint) = oldest {
+            self.crashes.remove(&fingerprint);
         }
     }
 
-    /// Forgets that upstreams ended under `content`.
-    fn clear(&mut self, content: u64) {
-        self.cleared.put(content, MOST_CLEARED);
-        self.crashes.remove(&content);
+    /// Forgets that upstreams ended under `fingerprint`.
+    fn clear(&mut self, fingerprint: u64) {
+        self.cleared.put(fingerprint, MOST_CLEARED);
+        self.crashes.remove(&fingerprint);
         for doubts in self.doubts.values_mut() {
-            doubts.retain(|(it, _)| *it != content);
+            doubts.retain(|(it, _)| *it != fingerprint);
         }
     }
 
@@ -168,8 +169,8 @@
 impl State {
     /// The attempt of a request broke off after it was sent. What the upstream is to be checked
     /// for, unless that is under way.
-    pub(crate) fn break_off(&mut self, id: u64, now: Millis) -> Option<Effect> {
-        let upstream = self.doubt_upstream(id, now)?;
+    pub(crate) fn check_interrupted(&mut self, id: u64, now: Millis) -> Option<Effect> {
+        let upstream = self.record_interrupted(id, now)?;
         let address = self.upstreams.get(&upstream)?.host.address.clone();
         let first = self.quarantine.checking.insert(upstream.clone());
         first.then_some(Effect::Check { upstream, address })
@@ -177,101 +178,104 @@
 
     /// Nothing comes of an attempt any more: its upstream may have ended without a word, which
     /// the platform's list will tell.
-    pub(crate) fn doubt_upstream(&mut self, id: u64, now: Millis) -> Option<Arc<str>> {
+    pub(crate) fn record_interrupted(&mut self, id: u64, now: Millis) -> Option<Arc<str>> {
         if !self.settings.path.monitors_upstreams() {
             return None;
         }
         let request = self.requests.get(&id)?;
-        let (content, upstream) = (request.arrival.fingerprint, request.upstream()?.clone());
-        self.quarantine.doubt(content, &upstream, now);
+        let (fingerprint, upstream) = (request.arrival.fingerprint, request.upstream()?.clone());
+        self.quarantine.doubt(fingerprint, &upstream, now);
         Some(upstream)
     }
 
     /// An upstream was checked.
-    pub(crate) fn checked(
+    pub(crate) fn record_liveness(
         &mut self,
         upstream: &Arc<str>,
-        check: Check,
+        check: Liveness,
         now: Millis,
     ) -> Vec<Effect> {
         self.quarantine.checking.remove(upstream);
         match check {
-            Check::Ended => self.end_upstream(upstream, now),
-            Check::Stands => {
+            Liveness::Dead => self.record_crash(upstream, now),
+            Liveness::Alive => {
                 self.quarantine.doubts.remove(upstream);
             }
-            Check::Unknown => {}
+            Liveness::Unknown => {}
         }
         Vec::new()
     }
 
     /// An upstream has ended: what broke off there may be why.
-    pub(crate) fn end_upstream(&mut self, upstream: &Arc<str>, now: Millis) {
-        let crash =
-            |content| Crash { content, upstream: upstream.clone(), at: now, cleared: false };
+    pub(crate) fn record_crash(&mut self, upstream: &Arc<str>, now: Millis) {
+        let crash = |fingerprint| Crash {
+            fingerprint,
+            upstream: upstream.clone(),
+            at: now,
+            cleared: false,
+        };
         let mut crashes: Vec<_> =
             self.quarantine.settle(upstream, now).into_iter().map(crash).collect();
-        crashes.retain(|it| !self.is_innocent(it.content, now));
+        crashes.retain(|it| !self.is_innocent(it.fingerprint, now));
         if crashes.is_empty() {
             return;
         }
         self.pending_effects.push(Effect::ReportCrashes(crashes.clone()));
-        self.learn_crashes(crashes, now);
+        self.record_crashes(crashes, now);
     }
 
     /// Takes ends of upstreams, this router's own or another's. A time that has not come yet
     /// is another host's clock.
-    pub(crate) fn learn_crashes(&mut self, crashes: Vec<Crash>, now: Millis) {
+    pub(crate) fn record_crashes(&mut self, crashes: Vec<Crash>, now: Millis) {
         let lasts = Millis(self.settings.quarantine_ms);
         self.quarantine.expire(lasts, now);
         for mut crash in crashes {
-            let content = crash.content;
+            let fingerprint = crash.fingerprint;
             if crash.cleared {
-                self.quarantine.clear(content);
+                self.quarantine.clear(fingerprint);
             }
-            if crash.cleared || self.is_innocent(content, now) {
+            if crash.cleared || self.is_innocent(fingerprint, now) {
                 continue;
             }
             crash.at = crash.at.min(now);
             let old = crash.at.until(now) >= lasts;
             let ends = if old { None } else { self.quarantine.learn(crash) };
             if ends == Some(self.settings.quarantine_ends) {
-                self.pending_effects
-                    .push(Effect::Quarantine { fingerprint: content, duration: lasts });
+                self.pending_effects.push(Effect::Quarantine { fingerprint, duration: lasts });
             }
         }
     }
 
     /// Whether work was answered in full; if this router has done so, it tells the others.
-    fn is_innocent(&mut self, content: u64, now: Millis) -> bool {
-        if !self.quarantine.cleared.has(content) && self.quarantine.answered.has(content) {
-            self.tell_cleared(content, now);
+    fn is_innocent(&mut self, fingerprint: u64, now: Millis) -> bool {
+        if !self.quarantine.cleared.has(fingerprint) && self.quarantine.answered.has(fingerprint) {
+            self.tell_cleared(fingerprint, now);
         }
-        self.quarantine.cleared.has(content)
+        self.quarantine.cleared.has(fingerprint)
     }
 
-    /// A whole answer to `content` was passed on: it is not why upstreams end.
-    pub(crate) fn note_whole(&mut self, content: u64, now: Millis) {
+    /// A whole answer to `fingerprint` was passed on: it is not why upstreams end.
+    pub(crate) fn mark_answered(&mut self, fingerprint: u64, now: Millis) {
         if !self.settings.path.monitors_upstreams() {
             return;
         }
-        self.quarantine.answered.put(content, MOST_ANSWERED);
-        if self.quarantine.crashes.contains_key(&content) {
-            self.tell_cleared(content, now);
+        self.quarantine.answered.put(fingerprint, MOST_ANSWERED);
+        if self.quarantine.crashes.contains_key(&fingerprint) {
+            self.tell_cleared(fingerprint, now);
         }
         for doubts in self.quarantine.doubts.values_mut() {
-            doubts.retain(|(it, _)| *it != content);
+            doubts.retain(|(it, _)| *it != fingerprint);
         }
     }
 
-    fn tell_cleared(&mut self, content: u64, now: Millis) {
-        self.quarantine.clear(content);
-        self.pending_effects.push(Effect::ReportCleared(Crash::clearing(content, now)));
+    fn tell_cleared(&mut self, fingerprint: u64, now: Millis) {
+        self.quarantine.clear(fingerprint);
+        self.pending_effects.push(Effect::ReportCleared(Crash::cleared(fingerprint, now)));
     }
 
     /// For how much longer work is held back; `None` if it is not.
-    pub(crate) fn held_back(&self, content: u64, now: Millis) -> Option<Millis> {
-        let crashes = self.quarantine.crashes.get(&content)?;
+    pub(crate) fn quarantine_left(&self, fingerprint: u64, now: Millis) -> Option<Millis> {
+        let crashes = self.quarantine.crashes.get(&fingerprint)?;
         let lasts = Millis(self.settings.quarantine_ms);
         let left = now.until(latest(crashes) + lasts);
         let held = crashes.len() >= self.settings.quarantine_ends && left > Millis::ZERO;
--- a/components/routing/src/recovery/retry.rs
+++ b/components/routing/src/recovery/retry.rs
@@ -9,15 +9,9 @@
 impl State {
     /// After an attempt that gave nothing to the caller: the next candidate if
     /// that is safe and allowed, else the final answer.
-    pub(crate) fn try_elsewhere(
-        &mut self,
-        id: u64,
-        kind: Kind,
-        after: u64,
-        now: Millis,
-    ) -> Vec<Effect> {
-        self.mark(id, kind);
-        if self.may_try_elsewhere(id, kind, now) {
+    pub(crate) fn retry(&mut self, id: u64, kind: Kind, after: u64, now: Millis) -> Vec<Effect> {
+        self.record_failure(id, kind);
+        if self.acquire_retry(id, kind, now) {
             return self.send_next(id, now);
         }
         self.fail(id, kind, after, "", now)
@@ -25,7 +19,7 @@
 
     /// Whether the request may be sent to another upstream after `kind`; if so,
     /// a retry is taken from the budget.
-    pub(crate) fn may_try_elsewhere(&mut self, id: u64, kind: Kind, now: Millis) -> bool {
+    pub(crate) fn acquire_retry(&mut self, id: u64, kind: Kind, now: Millis) -> bool {
         self.rerank(id, now);
         let Some(request) = self.requests.get(&id) else {
             return false;
@@ -60,7 +54,7 @@
     }
 
     /// Notes why the current attempt failed.
-    pub(crate) fn mark(&mut self, id: u64, kind: Kind) {
+    pub(crate) fn record_failure(&mut self, id: u64, kind: Kind) {
         self.release_load(id);
         self.release_permit(id, Some(kind));
         let last = self.requests.get_mut(&id).and_then(|it| it.tries.last_mut());
@@ -77,18 +71,18 @@
     }
 
     /// The fixed part of the retry budget is divided among the routers.
-    pub(crate) fn divide(&mut self, routers: usize) -> Vec<Effect> {
+    pub(crate) fn set_router_count(&mut self, routers: usize) -> Vec<Effect> {
         self.router_count = routers.max(1);
-        self.change_budgets();
+        self.update_budgets();
         Vec::new()
     }
 
     /// Puts the present settings in force for the budgets there are; nothing is
     /// given back that was spent.
-    pub(crate) fn change_budgets(&mut self) {
+    pub(crate) fn update_budgets(&mut self) {
         let (share, burst) = (self.settings.retry_share, self.burst());
         for budget in self.retry_budgets.values_mut() {
-            budget.change(share, burst);
+            budget.set_limits(share, burst);
         }
     }
 
--- a/components/routing/src/recovery/silence.rs
+++ b/components/routing/src/recovery/silence.rs
@@ -10,7 +10,7 @@
 use errors::Kind;
 
 use crate::Effect;
-use crate::beliefs::upstream::FAILURES;
+use crate::beliefs::upstream::FAILURES_BEFORE_PROBE;
 use crate::requests::request::Request;
 use crate::state::State;
 
@@ -28,7 +28,7 @@
 
 impl Request {
     /// How long nothing may come before the request is tried elsewhere.
-    pub(crate) fn silence(&self) -> Millis {
+    pub(crate) fn silence_timeout(&self) -> Millis {
         let patience = self.objective_ms.map(|it| it * PATIENCE_HUNDREDTHS / 100);
         Millis(patience.unwrap_or(MOST).clamp(LEAST, MOST))
     }
@@ -41,24 +41,24 @@
 
 impl State {
     /// Something came from the upstream of a request.
-    pub(crate) fn hear_from(&mut self, id: u64, now: Millis) {
+    pub(crate) fn record_activity(&mut self, id: u64, now: Millis) {
         let Some(last) = self.requests.get_mut(&id).and_then(|it| it.tries.last_mut()) else {
             return;
         };
         last.last_received = now;
         if let Some(upstream) = self.upstreams.get_mut(&last.upstream) {
-            upstream.heard = Some(now);
+            upstream.last_activity = Some(now);
         }
     }
 
     /// Nothing has come for a request for a while. It is tried elsewhere if that is
     /// safe, and waits on if not; an upstream that says nothing to anybody is left
     /// alone.
-    pub(crate) fn quiet(&mut self, id: u64, now: Millis) -> Vec<Effect> {
+    pub(crate) fn check_silence(&mut self, id: u64, now: Millis) -> Vec<Effect> {
         let Some(request) = self.requests.get_mut(&id) else {
             return Vec::new();
         };
-        let (silence, answers) = (request.silence(), request.is_answering());
+        let (silence, answers) = (request.silence_timeout(), request.is_answering());
         if request.quiet(now) < silence {
             return Vec::new();
         }
@@ -69,17 +69,17 @@
         let first = !std::mem::replace(&mut last.is_silent, true);
         let forget = self.forget(&upstream).filter(|_| first);
         if first {
-            self.doubt_upstream(id, now);
+            self.record_interrupted(id, now);
         }
-        self.judge(id, false, now);
+        self.record_outcome(id, false, now);
         if self.is_silent(&upstream, silence, now) {
             self.put_on_trial(&upstream, now);
         }
         let kind = if answers { Kind::Truncated } else { Kind::Silent };
-        if !self.may_try_elsewhere(id, kind, now) {
+        if !self.acquire_retry(id, kind, now) {
             return forget.into_iter().collect();
         }
-        self.mark(id, kind);
+        self.record_failure(id, kind);
         let mut effects = vec![Effect::Cancel];
         effects.extend(forget);
         effects.extend(self.send_next(id, now));
@@ -96,7 +96,7 @@
 
     /// Takes how the current attempt of a request goes, once for each attempt, and once more
     /// if it began well and then failed.
-    pub(crate) fn judge(&mut self, id: u64, good: bool, now: Millis) {
+    pub(crate) fn record_outcome(&mut self, id: u64, good: bool, now: Millis) {
         let Some(last) = self.requests.get_mut(&id).and_then(|it| it.tries.last_mut()) else {
             return;
         };
@@ -106,7 +106,7 @@
             return;
         }
         if let Some(upstream) = self.upstreams.get_mut(&last.upstream) {
-            upstream.health.note(good, now);
+            upstream.health.record(good, now);
         }
     }
 
@@ -114,14 +114,14 @@
     /// until it answers.
     fn put_on_trial(&mut self, upstream: &Arc<str>, now: Millis) {
         if let Some(upstream) = self.upstreams.get_mut(upstream) {
-            upstream.failures = upstream.failures.max(FAILURES - 1);
+            upstream.failures = upstream.failures.max(FAILURES_BEFORE_PROBE - 1);
         }
-        self.suspect(upstream, now);
+        self.mark_suspect(upstream, now);
     }
 
     /// Whether nothing at all has come from an upstream for `silence`.
     fn is_silent(&self, upstream: &Arc<str>, silence: Millis, now: Millis) -> bool {
-        let heard = self.upstreams.get(upstream).and_then(|it| it.heard);
+        let heard = self.upstreams.get(upstream).and_then(|it| it.last_activity);
         heard.is_none_or(|at| at.until(now) >= silence)
     }
 }
--- a/components/routing/src/recovery/stopping.rs
+++ b/components/routing/src/recovery/stopping.rs
@@ -39,7 +39,7 @@
 
 impl Durations {
     /// Takes a whole answer to a request that came at `came` and ended at `ended`.
-    pub(crate) fn note(&mut self, kind: &Arc<str>, came: Millis, ended: Millis) {
+    pub(crate) fn record(&mut self, kind: &Arc<str>, came: Millis, ended: Millis) {
         let took = came.until(ended);
         if let Some(answers) = self.answers.get_mut(kind) {
             answers.longest = took.max(Millis(answers.longest.0 * KEPT_THOUSANDTHS / 1_000));
@@ -60,7 +60,7 @@
 
 /// How far a planned stop has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Stop {
+pub(crate) enum Drain {
     /// Requests are taken that will have ended by then.
     Draining { until: Millis },
     /// Nothing is in flight any more, and nothing is taken.
@@ -72,11 +72,11 @@
     /// router stops, those are that will be answered in time: on a day on which four
     /// routers were stopped in turn, 168 requests were refused and had to come back.
     pub(crate) fn has_time_for(&self, kind: &str, deadline: Millis, now: Millis) -> bool {
-        match self.stop {
+        match self.drain {
             None => true,
-            Some(Stop::Drained) => false,
-            Some(Stop::Draining { .. }) if !self.settings.mechanisms.late_takes => false,
-            Some(Stop::Draining { until }) => {
+            Some(Drain::Drained) => false,
+            Some(Drain::Draining { .. }) if !self.settings.mechanisms.late_takes => false,
+            Some(Drain::Draining { until }) => {
                 let expected = self.durations.expected(kind, now.until(until), now);
                 let expected = expected.unwrap_or(deadline);
                 now + expected.min(deadline) <= until
@@ -87,17 +87,17 @@
     /// Takes only requests that will have ended by `until`; those under way are
     /// finished.
     pub(crate) fn drain(&mut self, until: Millis) -> Vec<Effect> {
-        self.stop = Some(Stop::Draining { until });
-        self.drained().into_iter().collect()
+        self.drain = Some(Drain::Draining { until });
+        self.finish_drain().into_iter().collect()
     }
 
     /// The end of a planned stop, once nothing is in flight.
-    pub(crate) fn drained(&mut self) -> Option<Effect> {
-        let drains = matches!(self.stop, Some(Stop::Draining { .. }));
+    pub(crate) fn finish_drain(&mut self) -> Option<Effect> {
+        let drains = matches!(self.drain, Some(Drain::Draining { .. }));
         if !drains || !self.requests.is_empty() {
             return None;
         }
-        self.stop = Some(Stop::Drained);
+        self.drain = Some(Drain::Drained);
         Some(Effect::Drained)
     }
 }
--- a/components/routing/src/requests/arrival.rs
+++ b/components/routing/src/requests/arrival.rs
@@ -63,7 +63,7 @@
         }
         // Its caller comes again under a new id, at any router: where each decided on it as if it
         // had never come, one work ended 15 engines in 17 s.
-        if self.held_back(ask.fingerprint, now).is_some() {
+        if self.quarantine_left(ask.fingerprint, now).is_some() {
             return Err((Kind::HeldBack, String::new()));
         }
         Ok(target)
@@ -82,7 +82,7 @@
             answered_at: None,
             relayed_at: None,
             longest_gap: Millis::ZERO,
-            outlook: self.outlook(intent, now),
+            estimate: self.estimate(intent, now),
             objective_ms: intent.objective_ms,
             wait_until: patience(intent.objective_ms, now),
             phase: Phase::Sent,
--- a/components/routing/src/requests/completion.rs
+++ b/components/routing/src/requests/completion.rs
@@ -18,7 +18,7 @@
         detail: &str,
         now: Millis,
     ) -> Vec<Effect> {
-        let held = self.held_back(ask.fingerprint, now).filter(|_| kind == Kind::HeldBack);
+        let held = self.quarantine_left(ask.fingerprint, now).filter(|_| kind == Kind::HeldBack);
         let after = held.map_or_else(|| self.retry_after_ms(kind, now), |left| left.0);
         let decision = Decision {
             request: ask.request.clone(),
@@ -132,8 +132,8 @@
         }
         if error.is_none() {
             self.record_completion(&request, now);
-            self.note_whole(request.arrival.fingerprint, now);
-            self.durations.note(&request.arrival.kind, request.arrived, now);
+            self.mark_answered(request.arrival.fingerprint, now);
+            self.durations.record(&request.arrival.kind, request.arrived, now);
         }
         let shared = request.arrival.prefixes.last().copied();
         let decision = Decision {
@@ -160,7 +160,7 @@
             detail: detail.into(),
         };
         let mut effects = vec![Effect::Record(Arc::new(decision))];
-        effects.extend(self.drained());
+        effects.extend(self.finish_drain());
         effects
     }
 
@@ -176,9 +176,9 @@
         let waits = std::mem::replace(&mut last.is_waiting, false);
         let weight = request.arrival.weight;
         if let Some(upstream) = self.upstreams.get_mut(&last.upstream) {
-            upstream.release(weight);
+            upstream.remove_request(weight);
             if waits {
-                upstream.begin_answer(weight);
+                upstream.record_answer_start(weight);
             }
         }
     }
--- a/components/routing/src/requests/dispatch.rs
+++ b/components/routing/src/requests/dispatch.rs
@@ -7,8 +7,8 @@
 use placement::key;
 use rand::Rng;
 
-use crate::beliefs::outlook::{Outlook, ms};
-use crate::beliefs::upstream::{COLD, EVACUATED, OVER_BOUND, RESTS};
+use crate::beliefs::outlook::{Estimate, millis_to_f64};
+use crate::beliefs::upstream::{BACKING_OFF, COLD, EVACUATED, OVER_BOUND};
 use crate::requests::request::{Phase, Request};
 use crate::selection::prefill::Need;
 use crate::state::State;
@@ -22,7 +22,7 @@
     pub(crate) fn send_next(&mut self, id: u64, now: Millis) -> Vec<Effect> {
         // Others may have ended under it while it waited or was elsewhere.
         let content = self.requests.get(&id).map(|it| it.arrival.fingerprint);
-        if let Some(left) = content.and_then(|it| self.held_back(it, now)) {
+        if let Some(left) = content.and_then(|it| self.quarantine_left(it, now)) {
             return self.fail(id, Kind::HeldBack, left.0, "", now);
         }
         let Some(upstream) = self.next_candidate(id, now) else {
@@ -51,11 +51,11 @@
         let pool = self.requests.get(&id).map(|it| it.pool.clone()).unwrap_or_default();
         match why {
             COLD => {
-                let soonest = self.opens_in(&pool, now).unwrap_or_default();
-                self.flows.entry(pool).or_default().book(ms(soonest), 1.0, now)
+                let soonest = self.available_in(&pool, now).unwrap_or_default();
+                self.flows.entry(pool).or_default().book(millis_to_f64(soonest), 1.0, now)
             }
-            RESTS => {
-                let soonest = self.opens_in(&pool, now).unwrap_or_default();
+            BACKING_OFF => {
+                let soonest = self.available_in(&pool, now).unwrap_or_default();
                 soonest.0 + self.rng.random_range(0..RETURNS.0)
             }
             EVACUATED => self.settings.evacuated_retry_after_ms,
@@ -69,7 +69,7 @@
         // What was ranked before its domain was left, or its upstream said that it leaves or
         // rests, is not sent there.
         let mut candidates = std::mem::take(&mut self.requests.get_mut(&id)?.candidates);
-        candidates.retain(|it| !self.takes_nothing(it, now));
+        candidates.retain(|it| !self.is_closed(it, now));
         let request = self.requests.get_mut(&id)?;
         request.candidates = candidates;
         let error = request.tries.last().and_then(|it| it.error);
@@ -128,12 +128,12 @@
         if !request.is_answering() {
             request.phase = Phase::Sent;
         }
-        let load = upstream.load_at(&Outlook { now, ..request.outlook });
-        upstream.take(request.arrival.weight);
-        upstream.cold.send(now);
+        let load = upstream.estimated_load(&Estimate { now, ..request.estimate });
+        upstream.add_request(request.arrival.weight);
+        upstream.cold_start.record_sent(now);
         let mechanisms = self.settings.mechanisms;
         let first = request.tries.is_empty();
-        let need = Need::new(&self.warmth, &self.upstreams, request, name, mechanisms);
+        let need = Need::new(&self.prefix_index, &self.upstreams, request, name, mechanisms);
         request.tries.push(Try {
             upstream: name.clone(),
             sent: now,
@@ -159,7 +159,7 @@
     /// How long the upstream of an attempt may say nothing.
     fn timeout(&self, request: &Request, now: Millis) -> Millis {
         if self.settings.path.monitors_upstreams() {
-            return request.silence();
+            return request.silence_timeout();
         }
         Millis(self.settings.admit_ms).min(now.until(request.deadline))
     }
--- a/components/routing/src/requests/ownership.rs
+++ b/components/routing/src/requests/ownership.rs
@@ -34,7 +34,7 @@
         if !self.may_own(id, owner) {
             return self.fail(id, Kind::KeyOwnerGone, 0, &owner.upstream, now);
         }
-        if self.takes_nothing(&owner.upstream, now) {
+        if self.is_closed(&owner.upstream, now) {
             return self.fail(id, Kind::KeyUnsettled, 0, "its owner takes nothing now", now);
         }
         if let Some(request) = self.requests.get_mut(&id) {
@@ -74,8 +74,8 @@
             weight: 1,
             deadline: None,
         };
-        let outlook = self.outlook(target.intent, now);
-        let choice = self.index.choose(&self.upstreams, &target, &ask, &self.settings, &outlook);
+        let estimate = self.estimate(target.intent, now);
+        let choice = self.index.choose(&self.upstreams, &target, &ask, &self.settings, &estimate);
         let upstreams = choice.candidates.iter().rev().filter_map(|name| self.upstreams.get(name));
         let best = upstreams.into_iter().find(|it| it.is_up(now))?;
         Some(Owner { upstream: best.host.name.clone(), incarnation: best.incarnation })
--- a/components/routing/src/requests/permits.rs
+++ b/components/routing/src/requests/permits.rs
@@ -83,7 +83,7 @@
             && self.settings.path.monitors_upstreams()
             && !pool.is_empty()
             && members.peek().is_some()
-            && members.all(|it| it.host.slots > 0 && !it.tells_load())
+            && members.all(|it| it.host.slots > 0 && !it.has_observed_load())
     }
 
     fn members_of(&self, pool: &str) -> impl Iterator<Item = &Upstream> {
@@ -94,11 +94,11 @@
     pub fn available_slots(&self, pool: &str, now: Millis) -> Vec<(Arc<str>, u64)> {
         let takes = |it: &&Upstream| {
             let gone = it.is_suspect(now) && !it.reachable;
-            !it.is_leaving() && !it.evacuated && !it.word.rests(now) && !gone
+            !it.is_leaving() && !it.evacuated && !it.notice.is_backing_off(now) && !gone
         };
         let place = |it: &Upstream| (it.name().clone(), it.host.slots);
         let open: Vec<_> =
-            self.members_of(pool).filter(takes).filter(|it| !it.cold.is_cold(now)).collect();
+            self.members_of(pool).filter(takes).filter(|it| !it.cold_start.is_cold(now)).collect();
         if open.is_empty() {
             return self.members_of(pool).filter(takes).map(place).collect();
         }
@@ -218,9 +218,10 @@
 
     /// Whether a request may be sent to an upstream that it was granted a place at.
     fn is_usable(&self, id: u64, upstream: &Arc<str>, now: Millis) -> bool {
-        let takes = |it: &Upstream| !it.is_leaving() && !it.evacuated && !it.word.rests(now);
+        let takes =
+            |it: &Upstream| !it.is_leaving() && !it.evacuated && !it.notice.is_backing_off(now);
         self.upstreams.get(upstream).is_some_and(takes)
-            && !self.takes_nothing(upstream, now)
+            && !self.is_closed(upstream, now)
             && self.is_allowed(id, upstream)
     }
 
--- a/components/routing/src/requests/reply.rs
+++ b/components/routing/src/requests/reply.rs
@@ -29,7 +29,7 @@
         if !self.is_current(id, attempt) {
             return Vec::new();
         }
-        self.hear_from(id, now);
+        self.record_activity(id, now);
         match reply {
             Reply::Refused(refused) => self.refused(id, &refused, now),
             Reply::Admitted(admitted) => self.admitted(id, admitted.status, now),
@@ -49,19 +49,19 @@
     }
 
     fn refused(&mut self, id: u64, refused: &Refused, now: Millis) -> Vec<Effect> {
-        self.hear(id, refused.status, now);
+        self.record_status(id, refused.status, now);
         if !refused.hints.is_empty() {
             self.follow(id, refused);
         }
         if self.settings.path.monitors_upstreams() {
             match refused.kind {
-                Kind::Leaving => self.replaced(id, now),
+                Kind::Leaving => self.mark_replaced(id, now),
                 Kind::QueueFull if self.report_saturation(id, now) => {}
-                Kind::QueueFull => self.turned_away(id, now),
+                Kind::QueueFull => self.record_refusal(id, now),
                 _ => {}
             }
         }
-        self.try_elsewhere(id, refused.kind, refused.retry_after_ms, now)
+        self.retry(id, refused.kind, refused.retry_after_ms, now)
     }
 
     /// The chat's context is elsewhere: those places are next, then the home
@@ -101,7 +101,7 @@
     }
 
     fn admitted(&mut self, id: u64, status: Status, now: Millis) -> Vec<Effect> {
-        self.hear(id, status, now);
+        self.record_status(id, status, now);
         if let Some(request) = self.requests.get_mut(&id)
             && request.phase == Phase::Sent
         {
@@ -120,7 +120,7 @@
         if request.is_answering() {
             return self.resumed(id, head.status, now);
         }
-        self.judge(id, head.status < FAILURES, now);
+        self.record_outcome(id, head.status < FAILURES, now);
         let Some(request) = self.requests.get(&id) else {
             return Vec::new();
         };
@@ -134,9 +134,9 @@
         request.start_answer(head.status, now);
         let mut effects = vec![Effect::Head(head)];
         if let Some(upstream) = request.upstream().cloned() {
-            let parts = self.warmth.read(&request.arrival.prefix_hashes(), &upstream);
+            let parts = self.prefix_index.record_read(&request.arrival.prefix_hashes(), &upstream);
             effects.extend(share(&upstream, parts, Stage::Cached));
-            self.alive(&upstream);
+            self.record_alive(&upstream);
         }
         self.record_answer_start(id, now);
         effects
@@ -154,15 +154,15 @@
             return Vec::new();
         }
         let mut effects = vec![Effect::Cancel];
-        effects.extend(self.try_elsewhere(id, Kind::Truncated, 0, now));
+        effects.extend(self.retry(id, Kind::Truncated, 0, now));
         effects
     }
 
     /// The upstream ran the request and failed. Another one may do better; if
     /// none may be asked, the caller gets the failure.
     fn failed(&mut self, id: u64, head: Head, now: Millis) -> Vec<Effect> {
-        if self.may_try_elsewhere(id, Kind::UpstreamFailed, now) {
-            self.mark(id, Kind::UpstreamFailed);
+        if self.acquire_retry(id, Kind::UpstreamFailed, now) {
+            self.record_failure(id, Kind::UpstreamFailed);
             let mut effects = vec![Effect::Cancel];
             effects.extend(self.send_next(id, now));
             return effects;
@@ -197,7 +197,7 @@
     }
 
     fn end(&mut self, id: u64, end: End, now: Millis) -> Vec<Effect> {
-        self.hear(id, end.status, now);
+        self.record_status(id, end.status, now);
         let Some(request) = self.requests.get_mut(&id) else {
             return Vec::new();
         };
@@ -229,7 +229,7 @@
             };
             return self.fail(id, kind, 0, "", now);
         }
-        self.try_elsewhere(id, broken.kind, 0, now)
+        self.retry(id, broken.kind, 0, now)
     }
 
     pub(crate) fn handle_connection_failure(
@@ -248,18 +248,18 @@
         let (answering, upstream) = (request.is_answering(), request.upstream().cloned());
         let mut effects = Vec::new();
         if sent {
-            self.judge(id, false, now);
-            effects.extend(self.break_off(id, now));
+            self.record_outcome(id, false, now);
+            effects.extend(self.check_interrupted(id, now));
         }
         if let Some(upstream) = upstream {
-            self.blame(&upstream, sent, now);
+            self.record_connection_failure(&upstream, sent, now);
         }
         let kind = match (answering, sent) {
             (true, _) => Kind::Truncated,
             (false, true) => Kind::LinkLost,
             (false, false) => Kind::Unreachable,
         };
-        effects.extend(self.try_elsewhere(id, kind, 0, now));
+        effects.extend(self.retry(id, kind, 0, now));
         effects
     }
 
@@ -269,7 +269,7 @@
         if self.settings.path.monitors_upstreams() {
             let looks = self.settings.mechanisms.silence;
             return if looks && self.is_current(id, attempt) {
-                self.quiet(id, now)
+                self.check_silence(id, now)
             } else {
                 Vec::new()
             };
--- a/components/routing/src/requests/request.rs
+++ b/components/routing/src/requests/request.rs
@@ -6,7 +6,7 @@
 use errors::{Kind, Outcome};
 use shares::Standing;
 
-use crate::beliefs::outlook::Outlook;
+use crate::beliefs::outlook::Estimate;
 use crate::{Arrival, Exclusion, IdempotencyKey, Try};
 
 /// How far the current attempt has come.
@@ -48,7 +48,7 @@
     /// How old the proof was that the configuration in force is the newest.
     pub proof_ms: Option<u64>,
     /// The view on its pool when it came.
-    pub outlook: Outlook,
+    pub estimate: Estimate,
     /// The status of the answer that was passed on.
     pub status: Option<u16>,
     /// When the head of the answer was passed on, and when the last part was.
--- a/components/routing/src/selection/candidates.rs
+++ b/components/routing/src/selection/candidates.rs
@@ -8,9 +8,9 @@
 use placement::{Pool, key, top};
 
 use crate::beliefs::health::Outcomes;
-use crate::beliefs::outlook::Outlook;
-use crate::beliefs::room::{Deal, is_short};
-use crate::beliefs::upstream::{DEALT, OVER_BOUND, POOR, SUSPECT};
+use crate::beliefs::outlook::Estimate;
+use crate::beliefs::room::{Allocation, is_degraded};
+use crate::beliefs::upstream::{ALLOCATION_USED, OVER_BOUND, SUSPECT, UNHEALTHY};
 use crate::{Arrival, Exclusion, Policy, Settings, Upstream};
 
 /// The most upstreams that one request may be tried at.
@@ -62,11 +62,11 @@
         target: &Target<'_>,
         ask: &Arrival,
         settings: &Settings,
-        outlook: &Outlook,
+        estimate: &Estimate,
     ) -> Choice {
         let fitting = self.fitting(upstreams, target, ask);
         let fitting = fitting.iter().map(|place| &upstreams[*place]);
-        let sorted = Sorted::new(fitting, ask.weight, settings, outlook);
+        let sorted = Sorted::new(fitting, ask.weight, settings, estimate);
         let key = key(&ask.workspace, &ask.chat);
         let first = sorted.home(key).filter(|_| ask.is_chat()).map(|it| it.name().clone());
         let home = sorted.home(key).filter(|_| ask.is_chat());
@@ -81,7 +81,7 @@
             settings.policy
         };
         let mut best =
-            order(policy, key, &ask.request, sorted.candidates(&ask.request, outlook), outlook);
+            order(policy, key, &ask.request, sorted.candidates(&ask.request, estimate), estimate);
         if let Some(home) = home.filter(|_| settings.policy == Policy::Directory) {
             // The home is asked first even if it is believed to be full: it
             // knows where the chat's context is.
@@ -145,18 +145,18 @@
         fitting: impl Iterator<Item = &'a Upstream> + Clone,
         weight: u64,
         settings: &Settings,
-        outlook: &Outlook,
+        estimate: &Estimate,
     ) -> Self {
         let mut sorted = Self { open: Vec::new(), objected: Vec::new() };
-        let pool = (!settings.path.has_sidecars()).then(|| pool(fitting.clone(), outlook));
-        let short = outlook.deals(settings) && is_short(fitting.clone(), outlook.now);
-        let deal = pool.filter(|_| short).map(|pool| Deal { pool, bound: settings.bound });
+        let pool = (!settings.path.has_sidecars()).then(|| pool(fitting.clone(), estimate));
+        let short = estimate.is_allocating(settings) && is_degraded(fitting.clone(), estimate.now);
+        let deal = pool.filter(|_| short).map(|pool| Allocation { pool, bound: settings.bound });
         let judged = settings.path.monitors_upstreams() && settings.mechanisms.health;
-        let outcomes = judged.then(|| outcomes(fitting.clone(), outlook));
+        let outcomes = judged.then(|| outcomes(fitting.clone(), estimate));
         for upstream in fitting {
-            let objection = upstream.objection(weight, pool, outcomes, settings, outlook);
-            let dealt = || deal.filter(|it| it.leaves_none(upstream, weight, outlook));
-            match objection.or_else(|| dealt().map(|_| DEALT)) {
+            let objection = upstream.exclusion(weight, pool, outcomes, settings, estimate);
+            let dealt = || deal.filter(|it| it.is_exhausted(upstream, weight, estimate));
+            match objection.or_else(|| dealt().map(|_| ALLOCATION_USED)) {
                 None => sorted.open.push(upstream),
                 Some(why) => sorted.objected.push((upstream, why)),
             }
@@ -171,28 +171,29 @@
 
     /// The first in rank of those that are up.
     fn home(&self, key: u64) -> Option<&'a Upstream> {
-        let up = self.open.iter().copied().chain(self.full()).chain(self.objected_for(DEALT));
+        let up =
+            self.open.iter().copied().chain(self.full()).chain(self.objected_for(ALLOCATION_USED));
         top(key, up, 1, |it| (it.name(), 1.0)).pop()
     }
 
     /// Those to try. Loads are known with a lag: one sidecar is asked before all
     /// are believed to be full.
-    fn candidates(self, request: &str, outlook: &Outlook) -> Vec<&'a Upstream> {
+    fn candidates(self, request: &str, estimate: &Estimate) -> Vec<&'a Upstream> {
         if !self.open.is_empty() {
             return self.open;
         }
         // Where all room is dealt out, requests spread over all that have some.
         let draw = key("", request);
-        let spread = top(draw, self.objected_for(DEALT), 1, |it| (it.name(), 1.0));
+        let spread = top(draw, self.objected_for(ALLOCATION_USED), 1, |it| (it.name(), 1.0));
         if !spread.is_empty() {
             return spread;
         }
-        let poor: Vec<_> = self.objected_for(POOR).collect();
+        let poor: Vec<_> = self.objected_for(UNHEALTHY).collect();
         if !poor.is_empty() {
             return poor;
         }
-        let least = self.full().min_by_key(|it| it.load_at(outlook));
-        if outlook.path.has_sidecars() {
+        let least = self.full().min_by_key(|it| it.estimated_load(estimate));
+        if estimate.path.has_sidecars() {
             return least.into_iter().collect();
         }
         // Those that failed lately are better than none where nobody else can say
@@ -207,16 +208,16 @@
 }
 
 /// The load of all that fit, as far as this router knows.
-fn pool<'a>(fitting: impl Iterator<Item = &'a Upstream>, outlook: &Outlook) -> Pool {
+fn pool<'a>(fitting: impl Iterator<Item = &'a Upstream>, estimate: &Estimate) -> Pool {
     fitting.filter(|it| !it.is_leaving()).fold(Pool::default(), |pool, it| Pool {
-        load: pool.load + it.load_in_mean(outlook),
+        load: pool.load + it.load_for_mean(estimate),
         members: pool.members + 1,
     })
 }
 
 /// How requests ended at all that fit.
-fn outcomes<'a>(fitting: impl Iterator<Item = &'a Upstream>, outlook: &Outlook) -> Outcomes {
-    fitting.fold(Outcomes::default(), |all, it| all.and(it.health.outcomes(outlook.now)))
+fn outcomes<'a>(fitting: impl Iterator<Item = &'a Upstream>, estimate: &Estimate) -> Outcomes {
+    fitting.fold(Outcomes::default(), |all, it| all.merge(it.health.outcomes(estimate.now)))
 }
 
 /// The best of `open`, the best first.
@@ -225,7 +226,7 @@
     key: u64,
     request: &str,
     mut open: Vec<&'a Upstream>,
-    outlook: &Outlook,
+    estimate: &Estimate,
 ) -> Vec<&'a Upstream> {
     let ranked = |key, open: Vec<&'a Upstream>| {
         top(key, open.into_iter(), MAX_CANDIDATES, |it| (it.name(), 1.0))
@@ -236,7 +237,7 @@
         Policy::Lightest => {
             let draw = placement::key("", request);
             open.sort_by_cached_key(|it| {
-                (it.load_at(outlook), placement::score(draw, it.name(), 1.0).to_bits())
+                (it.estimated_load(estimate), placement::score(draw, it.name(), 1.0).to_bits())
             });
             open.truncate(MAX_CANDIDATES);
             open
--- a/components/routing/src/selection/prefill.rs
+++ b/components/routing/src/selection/prefill.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::beliefs::warmth::Warmth;
+use crate::beliefs::warmth::PrefixIndex;
 use crate::requests::request::Request;
 use crate::selection::candidates::Upstreams;
 use crate::{Mechanisms, Upstream};
@@ -35,25 +35,25 @@
     /// sent past its first upstream in rank finds its context there, even if other
     /// routers sent all its earlier requests.
     pub(crate) fn new(
-        warmth: &Warmth,
+        prefix_index: &PrefixIndex,
         upstreams: &Upstreams,
         request: &Request,
         name: &Arc<str>,
         mechanisms: Mechanisms,
     ) -> Self {
         let address = |name: &Arc<str>, lacks: u64| {
-            let sound = |it: &&Upstream| !mechanisms.doubts || it.may_be_copied_from(lacks);
+            let sound = |it: &&Upstream| !mechanisms.doubts || it.is_copy_source(lacks);
             let source = upstreams.get(name).filter(sound).filter(|_| mechanisms.copies)?;
             Some(source.host.address.clone())
         };
         let first = request.first_ranked.as_ref().filter(|it| *it != name);
         let shared = &request.arrival.prefixes;
-        let held = shared.iter().rev().find(|it| warmth.holds(it.hash, name));
+        let held = shared.iter().rev().find(|it| prefix_index.holds(it.hash, name));
         let (all, held) = (request.arrival.prefix_tokens(), held.map_or(0, |it| it.tokens));
         for (depth, part) in shared.iter().rev().enumerate().take_while(|(_, it)| it.tokens > held)
         {
             let lacks = part.tokens - held;
-            let known = warmth.places(part.hash).find_map(|it| address(it, lacks));
+            let known = prefix_index.holders(part.hash).find_map(|it| address(it, lacks));
             let home = first.filter(|_| depth == 0);
             let source = known.or_else(|| home.and_then(|it| address(it, lacks)));
             if source.is_some() {
@@ -61,12 +61,12 @@
             }
         }
         let crowded = |it: &&Upstream| {
-            it.host.slots > 0 && it.load_at(&request.outlook) * CROWDED >= it.host.slots
+            it.host.slots > 0 && it.estimated_load(&request.estimate) * CROWDED >= it.host.slots
         };
         let crowded = upstreams.get(name).as_ref().is_some_and(crowded);
         let kept = shared.last().filter(|it| it.tokens == held && held >= WORTH_A_SOURCE);
         let kept = kept.filter(|_| crowded);
-        let mut others = kept.into_iter().flat_map(|it| warmth.places(it.hash));
+        let mut others = kept.into_iter().flat_map(|it| prefix_index.holders(it.hash));
         let source = others.find_map(|it| address(it, 0).filter(|_| it != name));
         Self { source, copied: 0, read: all - held }
     }
--- a/components/routing/src/selection/prefixes.rs
+++ b/components/routing/src/selection/prefixes.rs
@@ -45,8 +45,10 @@
             return Vec::new();
         }
         match warm.stage {
-            Stage::Prefilling => self.warmth.begin(&warm.prefixes, &warm.upstream, now),
-            Stage::Cached => self.warmth.read(&warm.prefixes, &warm.upstream),
+            Stage::Prefilling => {
+                self.prefix_index.record_reading(&warm.prefixes, &warm.upstream, now)
+            }
+            Stage::Cached => self.prefix_index.record_read(&warm.prefixes, &warm.upstream),
         };
         Vec::new()
     }
@@ -54,11 +56,11 @@
     /// What is known of warm parts at the upstreams there are, for routers that start,
     /// and how often it has changed.
     pub fn warm_prefixes(&self) -> (u64, Vec<WarmPrefixes>) {
-        let mut held = self.warmth.latest(MOST_REMEMBERED);
+        let mut held = self.prefix_index.latest(MOST_REMEMBERED);
         held.retain(|upstream, _| self.upstreams.contains_key(upstream));
         let warm =
             |(upstream, parts)| WarmPrefixes { upstream, prefixes: parts, stage: Stage::Cached };
-        (self.warmth.changes(), held.into_iter().map(warm).collect())
+        (self.prefix_index.changes(), held.into_iter().map(warm).collect())
     }
 
     /// Whether a request that has not been sent should wait: `upstream` is reading
@@ -67,7 +69,7 @@
         let Some(request) = self.requests.get(&id) else {
             return false;
         };
-        let reading = |part: &Prefix| self.warmth.is_reading(part.hash, upstream, now);
+        let reading = |part: &Prefix| self.prefix_index.is_reading(part.hash, upstream, now);
         self.settings.mechanisms.waits
             && request.tries.is_empty()
             && now < request.wait_until
@@ -102,11 +104,13 @@
     ) -> Option<Effect> {
         let request = self.requests.get(&id)?;
         let last = request.arrival.prefixes.last()?;
-        let elsewhere = self.warmth.places(last.hash).any(|it| self.upstreams.contains_key(it));
+        let elsewhere =
+            self.prefix_index.holders(last.hash).any(|it| self.upstreams.contains_key(it));
         if !self.settings.path.tracks_prefixes() || elsewhere {
             return None;
         }
-        let parts = self.warmth.begin(&request.arrival.prefix_hashes(), upstream, now);
+        let parts =
+            self.prefix_index.record_reading(&request.arrival.prefix_hashes(), upstream, now);
         share(upstream, parts, Stage::Prefilling)
     }
 }
--- a/components/routing/src/selection/ranking.rs
+++ b/components/routing/src/selection/ranking.rs
@@ -5,7 +5,7 @@
 use clock::Millis;
 use intents::{Intent, Selector};
 
-use crate::beliefs::outlook::Outlook;
+use crate::beliefs::outlook::Estimate;
 use crate::selection::candidates::Choice;
 use crate::state::State;
 use crate::{Arrival, Policy, Upstream};
@@ -23,18 +23,18 @@
         let Ok(target) = ask.target(&plan) else {
             return;
         };
-        let outlook = self.outlook(target.intent, now);
+        let estimate = self.estimate(target.intent, now);
         let Choice { mut candidates, passed, home, first } =
-            self.index.choose(&self.upstreams, &target, ask, &self.settings, &outlook);
+            self.index.choose(&self.upstreams, &target, ask, &self.settings, &estimate);
         self.put_warm_first(&mut candidates, ask);
         let pool = candidates.last().map_or_else(|| asked_pool(target.intent), |it| self.pool(it));
         let workspace = ask.workspace.clone();
         self.expect(&pool, target.priority, target.intent.objective_ms);
         let part = self.share_part(&pool, &workspace, target.priority, now);
-        self.put_in_time_first(&mut candidates, &pool, target.priority, part, &outlook);
+        self.put_in_time_first(&mut candidates, &pool, target.priority, part, &estimate);
         if let Some(request) = self.requests.get_mut(&id) {
             request.pool = pool;
-            request.outlook = outlook;
+            request.estimate = estimate;
             request.candidates = candidates;
             request.exclusions = passed;
             request.home = home.filter(|_| self.settings.policy == Policy::Directory);
@@ -51,7 +51,7 @@
             return;
         }
         if let Some(part) = ask.prefixes.last() {
-            candidates.sort_by_key(|it| self.warmth.holds(part.hash, it));
+            candidates.sort_by_key(|it| self.prefix_index.holds(part.hash, it));
         }
     }
 
@@ -96,15 +96,24 @@
     }
 
     /// The view on the pool of an intent's upstreams.
-    pub(crate) fn outlook(&self, intent: &Intent, now: Millis) -> Outlook {
-        let mean = self.mean_loads.get(&asked_pool(intent)).copied().unwrap_or_default();
+    pub(crate) fn estimate(&self, intent: &Intent, now: Millis) -> Estimate {
+        let mean_load = self.mean_loads.get(&asked_pool(intent)).copied().unwrap_or_default();
         #[expect(clippy::cast_precision_loss, reason = "fleets are small beside 2^53")]
         let routers = self.router_count as f64;
-        let known = self.settings.mechanisms.loads && self.peers.are_known(now);
-        let told = self.peers.are_told(now);
-        let takes_part = self.takes_part(now);
-        let seat = self.members.seat();
-        Outlook { path: self.settings.path, now, routers, seat, mean, known, told, takes_part }
+        let loads_known = self.settings.mechanisms.loads && self.peers.has_loads(now);
+        let observations_shared = self.peers.has_observations(now);
+        let quota_valid = self.has_valid_quota(now);
+        let router_key = self.members.router_key();
+        Estimate {
+            path: self.settings.path,
+            now,
+            routers,
+            router_key,
+            mean_load,
+            loads_known,
+            observations_shared,
+            quota_valid,
+        }
     }
 }
 
--- a/components/routing/src/state.rs
+++ b/components/routing/src/state.rs
@@ -13,10 +13,10 @@
 use crate::beliefs::cold::Members;
 use crate::beliefs::fleet::labels;
 use crate::beliefs::loads::Peers;
-use crate::beliefs::warmth::Warmth;
-use crate::beliefs::word::Words;
+use crate::beliefs::warmth::PrefixIndex;
+use crate::beliefs::word::Notices;
 use crate::recovery::quarantine::Quarantine;
-use crate::recovery::stopping::{Durations, Stop};
+use crate::recovery::stopping::{Drain, Durations};
 use crate::requests::permits::Saturation;
 use crate::requests::request::Request;
 use crate::selection::candidates::{Index, Upstreams};
@@ -47,17 +47,17 @@
     /// The routers that share what cold upstreams bear.
     pub(crate) members: Members,
     /// Set once the router is to stop.
-    pub(crate) stop: Option<Stop>,
+    pub(crate) drain: Option<Drain>,
     /// How long answers took lately.
     pub(crate) durations: Durations,
     /// Where parts of prompts are warm; kept for direct upstreams only.
-    pub(crate) warmth: Warmth,
+    pub(crate) prefix_index: PrefixIndex,
     /// When the configuration in force was last known to be the newest.
     pub(crate) confirmed_at: Option<Millis>,
     /// Under what work upstreams ended.
     pub(crate) quarantine: Quarantine,
     /// What upstreams have said of themselves.
-    pub(crate) words: Words,
+    pub(crate) upstream_notices: Notices,
     /// What other routers told of their own load.
     pub(crate) peers: Peers,
     /// The pools that are short of places.
@@ -86,12 +86,12 @@
             router_count: 1,
             evacuated: BTreeSet::new(),
             members: Members::default(),
-            stop: None,
+            drain: None,
             durations: Durations::default(),
-            warmth: Warmth::default(),
+            prefix_index: PrefixIndex::default(),
             confirmed_at: None,
             quarantine: Quarantine::default(),
-            words: Words::default(),
+            upstream_notices: Notices::default(),
             peers: Peers::default(),
             saturation: Saturation::new(seed),
             pending_effects: Vec::new(),
@@ -125,7 +125,7 @@
         let up = self.upstreams.values().any(|upstream| upstream.is_up(now));
         let up = up || self.settings.path.trusts_listing();
         let proved = self.is_confirmed_within(self.settings.ready_ms, now);
-        self.plan.is_some() && up && proved && self.stop.is_none()
+        self.plan.is_some() && up && proved && self.drain.is_none()
     }
 
     /// Whether the configuration in force is proved to have been the newest in
@@ -143,7 +143,7 @@
     /// in milliseconds.
     pub fn retry_after_ms(&self, kind: Kind, now: Millis) -> u64 {
         let elsewhere = matches!(kind, Kind::StaleConfiguration | Kind::Draining);
-        if elsewhere && self.others_are_current(now) {
+        if elsewhere && self.has_current_peer(now) {
             return self.settings.elsewhere_retry_after_ms;
         }
         self.settings.retry_after_ms(kind)
@@ -171,60 +171,60 @@
             Event::Stalled { id, attempt } => self.handle_stall(id, attempt, now),
             Event::Cancel { id } => self.cancel(id, now),
             Event::Expire { id } => self.expire(id, now),
-            Event::Hosts(hosts) => self.hosts(hosts, now),
-            Event::Tick => self.connects(now),
-            Event::Connected(welcome) => self.met(&welcome, now),
-            Event::Alive { upstream } => self.alive(&upstream),
-            Event::Unreachable { upstream } => self.missed(&upstream, now),
+            Event::Hosts(hosts) => self.set_hosts(hosts, now),
+            Event::Tick => self.connect(now),
+            Event::Connected(welcome) => self.record_connected(&welcome, now),
+            Event::Alive { upstream } => self.record_alive(&upstream),
+            Event::Unreachable { upstream } => self.record_unreachable(&upstream, now),
             Event::Settings(settings) => self.update_settings(*settings),
             Event::Configure(plan) => self.configure(plan, now),
             Event::ConfigurationConfirmed { at } => self.confirm_configuration(at),
-            Event::RouterCount(count) => self.divide(count),
+            Event::RouterCount(count) => self.set_router_count(count),
             Event::Members { own, announced } => {
-                self.meet(own, announced, now);
+                self.update_members(own, announced, now);
                 Vec::new()
             }
-            Event::Evacuated(domains) => self.evacuate(domains, now),
+            Event::Evacuated(domains) => self.set_evacuated(domains, now),
             Event::Cold { upstream, remaining } => {
-                self.chill(&upstream, remaining, now);
+                self.mark_cold(&upstream, remaining, now);
                 Vec::new()
             }
             Event::Leaving { upstream } => {
-                self.take_leave(&upstream, now);
+                self.record_leaving(&upstream, now);
                 Vec::new()
             }
             Event::Backoff { upstream, duration } => {
-                self.take_rest(&upstream, duration, now);
+                self.record_backoff(&upstream, duration, now);
                 Vec::new()
             }
             Event::Load { upstream, requests, waiting } => {
-                self.load(&upstream, requests, waiting, now)
+                self.record_load(&upstream, requests, waiting, now)
             }
             Event::Pace { upstream, percent } => {
-                self.hear_pace(&upstream, percent, now);
+                self.record_pace(&upstream, percent, now);
                 Vec::new()
             }
             Event::Paces(paces) => {
-                self.hear_paces(&paces, now);
+                self.receive_paces(&paces, now);
                 Vec::new()
             }
             Event::WarmPrefixes(warm) => self.receive_prefixes(&warm, now),
             Event::Loads(loads) => {
-                self.hear_loads(loads, now);
+                self.receive_loads(loads, now);
                 Vec::new()
             }
             Event::Observations(observations) => {
-                self.hear_others(&observations, now);
+                self.receive_observations(&observations, now);
                 Vec::new()
             }
-            Event::Outcomes(outcomes) => self.hear_outcomes(&outcomes, now),
+            Event::Outcomes(outcomes) => self.receive_outcomes(&outcomes, now),
             Event::Delays(delays) => self.receive_delays(&delays, now),
             Event::Demands(demands) => self.receive_demands(demands, now),
             Event::Crashes(crashes) => {
-                self.learn_crashes(crashes, now);
+                self.record_crashes(crashes, now);
                 Vec::new()
             }
-            Event::Checked { upstream, check } => self.checked(&upstream, check, now),
+            Event::Checked { upstream, check } => self.record_liveness(&upstream, check, now),
             Event::WaitElapsed { id } => self.handle_wait_elapsed(id, now),
             Event::Granted { id, number, upstream } => {
                 self.handle_granted(id, number, &upstream, now)
@@ -243,7 +243,7 @@
     fn update_settings(&mut self, settings: Settings) -> Vec<Effect> {
         self.shares.set_weights(&settings.weights);
         self.settings = settings;
-        self.change_budgets();
+        self.update_budgets();
         self.index.clear();
         Vec::new()
     }
@@ -258,7 +258,7 @@
         }
         self.plan = Some(plan);
         self.index.clear();
-        self.deal(now);
+        self.allocate_quotas(now);
         Vec::new()
     }
 
--- a/components/routing/tests/direct/rooms.rs
+++ b/components/routing/tests/direct/allocation.rs
@@ -7,7 +7,9 @@
 use routing::{Bound, Event, Mechanisms, Settings, State};
 use wire::{Observation, Observations};
 
-use crate::fleet::{NOW, ask, engines, evacuated, failed, members, router, sent, settings};
+use crate::fixture::{
+    NOW, arrival, engines, evacuated, failure, members, router, sent_to, settings,
+};
 
 /// How many routers share the engines.
 const ROUTERS: usize = 26;
@@ -60,11 +62,11 @@
         for time in 0..each {
             for (own, state) in fleet.iter_mut().enumerate() {
                 let id = 1_000_000 * round + 1_000 * time + all as u64;
-                let effects = state.apply(ask(id, "stream", chat), now + Millis(1 + time));
+                let effects = state.apply(arrival(id, "stream", chat), now + Millis(1 + time));
                 all += 1;
                 ids.push((own, id));
-                let Some(place) = sent(&effects) else {
-                    refused += usize::from(failed(&effects).is_some());
+                let Some(place) = sent_to(&effects) else {
+                    refused += usize::from(failure(&effects).is_some());
                     continue;
                 };
                 let sum: u64 = loads.values().sum();
@@ -112,7 +114,7 @@
     state.apply(Event::ConfigurationConfirmed { at: SETTLED }, SETTLED);
     state.apply(heard(&loads(10)), SETTLED);
     // The mean is 60 requests at nine engines: three more are within the bound of 13.
-    let place = |id| sent(&state.apply(ask(id, "stream", "one"), SETTLED + Millis(1)));
+    let place = |id| sent_to(&state.apply(arrival(id, "stream", "one"), SETTLED + Millis(1)));
     let places: Vec<_> = (1..=3).map(place).collect();
     assert!(places.iter().all(|it| it.is_some() && *it == places[0]), "{places:?}");
 }
@@ -124,7 +126,7 @@
         state.apply(evacuated(&["c"]), NOW);
         state.apply(Event::ConfigurationConfirmed { at: SETTLED }, SETTLED);
         state.apply(heard(&BTreeMap::new()), SETTLED);
-        (0..40).map(|id| sent(&state.apply(ask(id, "stream", "one"), SETTLED))).collect()
+        (0..40).map(|id| sent_to(&state.apply(arrival(id, "stream", "one"), SETTLED))).collect()
     };
     let without = Mechanisms { dealt_room: false, ..Mechanisms::default() };
     assert_eq!(places(Mechanisms::default()), places(without));
--- a/components/routing/tests/direct/cold.rs
+++ b/components/routing/tests/direct/cold.rs
@@ -7,7 +7,9 @@
 use proptest::prelude::*;
 use routing::{Event, Settings, State};
 
-use crate::fleet::{NOW, ask, engines, evacuated, failed, members, router, sent, settings};
+use crate::fixture::{
+    NOW, arrival, engines, evacuated, failure, members, router, sent_to, settings,
+};
 
 /// How many requests the cold engine bears in a second: 1.5 x 8 + 5.
 const LIMIT: usize = 17;
@@ -38,7 +40,7 @@
     state.apply(Event::ConfigurationConfirmed { at: now }, now);
     let mut count = 0;
     for id in first..first + most {
-        count += usize::from(sent(&state.apply(ask(id, "stream", "chat"), now)).is_some());
+        count += usize::from(sent_to(&state.apply(arrival(id, "stream", "chat"), now)).is_some());
         state.apply(Event::Cancel { id }, now);
     }
     count
@@ -62,8 +64,8 @@
     let mut state = fleet(0, 1);
     state.apply(cold(3_000), SETTLED);
     assert_eq!(sends(&mut state, 0, 50, SETTLED), 15);
-    let effects = state.apply(ask(99, "stream", "chat"), SETTLED);
-    assert_eq!(failed(&effects), Some(Kind::NoUpstream));
+    let effects = state.apply(arrival(99, "stream", "chat"), SETTLED);
+    assert_eq!(failure(&effects), Some(Kind::NoUpstream));
     assert_eq!(sends(&mut state, 100, 50, SETTLED + Millis(1_000)), 0);
     assert_eq!(sends(&mut state, 200, 50, SETTLED + Millis(1_150)), 15);
 }
@@ -77,11 +79,11 @@
     state.apply(Event::ConfigurationConfirmed { at: SETTLED }, SETTLED);
     let mut to_first = 0;
     for id in 0..100 {
-        let effects = state.apply(ask(id, "stream", &format!("chat-{id}")), SETTLED);
+        let effects = state.apply(arrival(id, "stream", &format!("chat-{id}")), SETTLED);
         let again = state.apply(Event::ConnectionFailed { id, attempt: 1, sent: true }, SETTLED);
         state.apply(Event::Alive { upstream: "engine-0".into() }, SETTLED);
         state.apply(Event::Alive { upstream: "engine-1".into() }, SETTLED);
-        let places = [sent(&effects), sent(&again)];
+        let places = [sent_to(&effects), sent_to(&again)];
         to_first += places.iter().flatten().filter(|it| &***it == "engine-0").count();
     }
     assert_eq!(to_first, 15);
@@ -97,7 +99,7 @@
     let mut cut = fleet(0, 1);
     cut.apply(cold(9_000), SETTLED);
     cut.apply(Event::ConfigurationConfirmed { at: NOW }, NOW);
-    assert_eq!(sent(&cut.apply(ask(1, "stream", "chat"), SETTLED)), None);
+    assert_eq!(sent_to(&cut.apply(arrival(1, "stream", "chat"), SETTLED)), None);
 }
 
 #[test]
@@ -185,9 +187,9 @@
             match happening {
                 Happening::Arrival(own) => {
                     let own = own % states.len();
-                    let effects = states[own].apply(ask(id, "stream", "chat"), now);
+                    let effects = states[own].apply(arrival(id, "stream", "chat"), now);
                     states[own].apply(Event::Cancel { id }, now);
-                    sent_at.extend(sent(&effects).map(|_| now));
+                    sent_at.extend(sent_to(&effects).map(|_| now));
                 }
                 Happening::Start { heard } => {
                     let own = states.len();
--- a/components/routing/tests/direct/fleet.rs
+++ b/components/routing/tests/direct/fixture.rs
@@ -69,7 +69,7 @@
 }
 
 /// So many plain upstreams that list slots.
-pub fn plain(count: usize) -> Event {
+pub fn services(count: usize) -> Event {
     let one = |it: usize| Host { slots: 6, ..host(&format!("plain-{it}"), "plain") };
     Event::Hosts((0..count).map(one).collect())
 }
@@ -110,12 +110,12 @@
 }
 
 /// A caller asks for `kind`.
-pub fn ask(id: u64, kind: &str, chat: &str) -> Event {
-    asked(id, kind, chat, &[])
+pub fn arrival(id: u64, kind: &str, chat: &str) -> Event {
+    arrival_with_prefixes(id, kind, chat, &[])
 }
 
 /// The same, with a prompt whose parts others may share.
-pub fn asked(id: u64, kind: &str, chat: &str, shared: &[u64]) -> Event {
+pub fn arrival_with_prefixes(id: u64, kind: &str, chat: &str, shared: &[u64]) -> Event {
     Event::Arrival(Arrival {
         id,
         request: format!("r-{id}").into(),
@@ -132,8 +132,10 @@
 }
 
 /// A stream with one part of `tokens` tokens that others may share.
-pub fn asked_long(id: u64, chat: &str, hash: u64, tokens: u64) -> Event {
-    let Event::Arrival(ask) = asked(id, "stream", chat, &[]) else { unreachable!("it is asked") };
+pub fn arrival_with_long_prefix(id: u64, chat: &str, hash: u64, tokens: u64) -> Event {
+    let Event::Arrival(ask) = arrival_with_prefixes(id, "stream", chat, &[]) else {
+        unreachable!("it is asked")
+    };
     Event::Arrival(Arrival { prefixes: vec![Prefix { hash, tokens }], ..ask })
 }
 
@@ -144,7 +146,7 @@
 }
 
 /// Where the effects send a request.
-pub fn sent(effects: &[Effect]) -> Option<Arc<str>> {
+pub fn sent_to(effects: &[Effect]) -> Option<Arc<str>> {
     effects.iter().find_map(|it| match it {
         Effect::Send(attempt) => Some(attempt.upstream.clone()),
         _ => None,
@@ -152,7 +154,7 @@
 }
 
 /// The kind of error that the effects end a request with.
-pub fn failed(effects: &[Effect]) -> Option<Kind> {
+pub fn failure(effects: &[Effect]) -> Option<Kind> {
     effects.iter().find_map(|it| match it {
         Effect::Fail(answer) | Effect::Abort(answer) => Some(answer.kind),
         _ => None,
@@ -168,7 +170,7 @@
 }
 
 /// An upstream's word that it turned a request away and did not run it.
-pub fn refused() -> Reply {
+pub fn refusal() -> Reply {
     let (hints, status) = (Vec::new(), Status::default());
     Reply::Refused(Refused { kind: Kind::QueueFull, retry_after_ms: 0, hints, status })
 }
@@ -181,7 +183,7 @@
 }
 
 /// The decision that the effects record.
-pub fn recorded(effects: &[Effect]) -> Option<Arc<Decision>> {
+pub fn recorded_decision(effects: &[Effect]) -> Option<Arc<Decision>> {
     effects.iter().find_map(|it| match it {
         Effect::Record(decision) => Some(decision.clone()),
         _ => None,
--- a/components/routing/tests/direct/health.rs
+++ b/components/routing/tests/direct/health.rs
@@ -6,14 +6,14 @@
 use routing::{Event, Reply, State};
 use wire::{Head, Outcome};
 
-use crate::fleet::{NOW, ask, recorded, router, sent, settings};
+use crate::fixture::{NOW, arrival, recorded_decision, router, sent_to, settings};
 
 /// Has `count` requests of a chat end, every second one badly at its first upstream in
 /// rank and well elsewhere. Returns where they went.
 fn fail_in_part(state: &mut State, count: u64) -> Vec<Arc<str>> {
     let home = place(&[], NOW);
     let one = |id: u64| {
-        let place = sent(&state.apply(ask(id, "stream", "chat"), NOW)).expect("a place");
+        let place = sent_to(&state.apply(arrival(id, "stream", "chat"), NOW)).expect("a place");
         let status = if id.is_multiple_of(2) && place == home { 500 } else { 200 };
         let head = Head { attempt: 1, status, headers: Vec::new() };
         state.apply(Event::Reply { id, attempt: 1, reply: Reply::Head(head) }, NOW);
@@ -32,7 +32,7 @@
     let mut state = router(settings());
     state.apply(Event::Outcomes(told.to_vec()), NOW);
     state.apply(Event::ConfigurationConfirmed { at: now }, now);
-    sent(&state.apply(ask(1, "stream", "chat"), now)).expect("a place")
+    sent_to(&state.apply(arrival(1, "stream", "chat"), now)).expect("a place")
 }
 
 #[test]
@@ -40,9 +40,9 @@
     let mut state = router(settings());
     let places = fail_in_part(&mut state, 20);
     assert_ne!(places[0], places[19]);
-    let next = state.apply(ask(21, "stream", "chat"), NOW);
-    let left = recorded(&state.apply(Event::Cancel { id: 21 }, NOW)).expect("a decision");
-    assert_ne!(sent(&next), Some(places[0].clone()));
+    let next = state.apply(arrival(21, "stream", "chat"), NOW);
+    let left = recorded_decision(&state.apply(Event::Cancel { id: 21 }, NOW)).expect("a decision");
+    assert_ne!(sent_to(&next), Some(places[0].clone()));
     let passed = left.passed.iter().find(|it| it.upstream == places[0]).expect("passed over");
     assert_eq!(passed.why, "fails more than its pool");
 }
@@ -82,6 +82,6 @@
 fn outcomes_are_told_once() {
     let mut state = router(settings());
     let places = fail_in_part(&mut state, 2);
-    assert_eq!(state.outcomes(), [outcome(&places[0], 1, 1)]);
-    assert_eq!(state.outcomes(), []);
+    assert_eq!(state.take_outcomes(), [outcome(&places[0], 1, 1)]);
+    assert_eq!(state.take_outcomes(), []);
 }
--- a/components/routing/tests/direct/innocent.rs
+++ b/components/routing/tests/direct/innocent.rs
@@ -6,10 +6,10 @@
 use clock::Millis;
 use errors::Kind;
 use proptest::prelude::*;
-use routing::{Check, Crash, Effect, Event, Reply, Settings, State};
+use routing::{Crash, Effect, Event, Liveness, Reply, Settings, State};
 use wire::{End, Head, Status};
 
-use crate::fleet::{NOW, ask, failed, recorded, router, sent, settings};
+use crate::fixture::{NOW, arrival, failure, recorded_decision, router, sent_to, settings};
 
 const WORK: u64 = 7;
 
@@ -19,7 +19,7 @@
 
 fn ends(upstreams: &[&str]) -> Event {
     let crash =
-        |it: &&str| Crash { content: WORK, upstream: (*it).into(), at: NOW, cleared: false };
+        |it: &&str| Crash { fingerprint: WORK, upstream: (*it).into(), at: NOW, cleared: false };
     Event::Crashes(upstreams.iter().map(crash).collect())
 }
 
@@ -41,16 +41,19 @@
 }
 
 fn is_sent(state: &mut State) -> bool {
-    let effects = state.apply(ask(WORK, "stream", "chat"), NOW);
+    let effects = state.apply(arrival(WORK, "stream", "chat"), NOW);
     state.apply(Event::Cancel { id: WORK }, NOW);
-    assert!(sent(&effects).is_some() || failed(&effects) == Some(Kind::HeldBack), "{effects:?}");
-    sent(&effects).is_some()
+    assert!(
+        sent_to(&effects).is_some() || failure(&effects) == Some(Kind::HeldBack),
+        "{effects:?}"
+    );
+    sent_to(&effects).is_some()
 }
 
 #[test]
 fn work_that_was_answered_in_full_is_not_held_back_whatever_ends() {
     let mut state = fleet();
-    state.apply(ask(WORK, "stream", "chat"), NOW);
+    state.apply(arrival(WORK, "stream", "chat"), NOW);
     answer(&mut state, WORK, 1, NOW);
     let effects = state.apply(ends(&["a", "b", "c"]), NOW);
     assert_eq!(cleared(&effects).len(), 1);
@@ -64,7 +67,7 @@
 fn an_answer_in_full_clears_work_that_was_blamed() {
     let mut state = fleet();
     state.apply(ends(&["a", "b"]), NOW);
-    state.apply(ask(WORK, "stream", "chat"), NOW);
+    state.apply(arrival(WORK, "stream", "chat"), NOW);
     assert_eq!(cleared(&answer(&mut state, WORK, 1, NOW)).len(), 1);
     state.apply(ends(&["c", "d", "e"]), NOW);
     assert!(is_sent(&mut state));
@@ -75,7 +78,7 @@
     let mut state = fleet();
     state.apply(ends(&["a", "b", "c"]), NOW);
     assert!(!is_sent(&mut state));
-    state.apply(Event::Crashes(vec![Crash::clearing(WORK, NOW)]), NOW);
+    state.apply(Event::Crashes(vec![Crash::cleared(WORK, NOW)]), NOW);
     assert!(is_sent(&mut state));
     state.apply(ends(&["a", "b", "c"]), NOW);
     assert!(is_sent(&mut state));
@@ -85,11 +88,11 @@
 fn an_answer_that_breaks_off_clears_nothing() {
     let mut state = fleet();
     state.apply(ends(&["a", "b"]), NOW);
-    state.apply(ask(WORK, "unsafe", "chat"), NOW);
+    state.apply(arrival(WORK, "unsafe", "chat"), NOW);
     let head = Head { attempt: 1, status: 200, headers: Vec::new() };
     state.apply(Event::Reply { id: WORK, attempt: 1, reply: Reply::Head(head) }, NOW);
     let lost = state.apply(Event::ConnectionFailed { id: WORK, attempt: 1, sent: true }, NOW);
-    assert!(recorded(&lost).is_some());
+    assert!(recorded_decision(&lost).is_some());
     assert_eq!(cleared(&lost), []);
     state.apply(ends(&["c"]), NOW);
     assert!(!is_sent(&mut state));
@@ -98,11 +101,11 @@
 #[test]
 fn work_that_was_answered_elsewhere_meanwhile_is_not_blamed_for_the_end() {
     let mut state = fleet();
-    let first = sent(&state.apply(ask(WORK, "stream", "chat"), NOW)).expect("a place");
+    let first = sent_to(&state.apply(arrival(WORK, "stream", "chat"), NOW)).expect("a place");
     let lost = state.apply(Event::ConnectionFailed { id: WORK, attempt: 1, sent: true }, NOW);
-    assert!(sent(&lost).is_some_and(|it| it != first));
+    assert!(sent_to(&lost).is_some_and(|it| it != first));
     answer(&mut state, WORK, 2, NOW);
-    let ended = state.apply(Event::Checked { upstream: first, check: Check::Ended }, NOW);
+    let ended = state.apply(Event::Checked { upstream: first, check: Liveness::Dead }, NOW);
     assert!(!ended.iter().any(|it| matches!(it, Effect::ReportCrashes(_))), "{ended:?}");
 }
 
@@ -110,7 +113,7 @@
 fn what_is_remembered_as_answered_is_bounded_and_the_oldest_goes_first() {
     let mut state = fleet();
     for id in (WORK..).take(9_000) {
-        state.apply(ask(id, "stream", "chat"), NOW);
+        state.apply(arrival(id, "stream", "chat"), NOW);
         answer(&mut state, id, 1, NOW);
     }
     state.apply(ends(&["a", "b", "c"]), NOW);
@@ -144,12 +147,12 @@
         for (number, (router, work, ends, reader)) in steps.into_iter().enumerate() {
             let content = 100 + work;
             let state = &mut fleet[router];
-            let effects = state.apply(ask(content, "unsafe", &format!("c-{number}")), NOW);
-            if sent(&effects).is_some() {
+            let effects = state.apply(arrival(content, "unsafe", &format!("c-{number}")), NOW);
+            if sent_to(&effects).is_some() {
                 let effects = if ends || work == DEADLY {
                     state.apply(Event::ConnectionFailed { id: content, attempt: 1, sent: true }, NOW);
-                    let upstream: Arc<str> = sent(&effects).expect("a place");
-                    state.apply(Event::Checked { upstream, check: Check::Ended }, NOW)
+                    let upstream: Arc<str> = sent_to(&effects).expect("a place");
+                    state.apply(Event::Checked { upstream, check: Liveness::Dead }, NOW)
                 } else {
                     answered.insert(content);
                     answer(state, content, 1, NOW)
@@ -170,8 +173,8 @@
         }
         for state in &mut fleet {
             for content in &answered {
-                let effects = state.apply(ask(*content, "unsafe", "last"), NOW);
-                prop_assert!(failed(&effects) != Some(Kind::HeldBack), "work {content}");
+                let effects = state.apply(arrival(*content, "unsafe", "last"), NOW);
+                prop_assert!(failure(&effects) != Some(Kind::HeldBack), "work {content}");
                 state.apply(Event::Cancel { id: *content }, NOW);
             }
         }
--- a/components/routing/tests/direct/loads.rs
+++ b/components/routing/tests/direct/loads.rs
@@ -7,7 +7,7 @@
 use routing::{Bound, Event, Settings, State};
 use wire::{Load, Loads, Observation, Observations};
 
-use crate::fleet::{NOW, ask, failed, retry_after, router, sent, settings};
+use crate::fixture::{NOW, arrival, failure, retry_after, router, sent_to, settings};
 
 fn fleet() -> State {
     let known_bound = Bound { multiple: 2.0, floor: 4, margin: 0.0, extra: 0 };
@@ -24,12 +24,12 @@
 
 /// Where the chat of the tests goes when nobody has any load.
 fn first() -> Arc<str> {
-    sent(&fleet().apply(ask(1, "stream", "chat"), NOW)).expect("a place")
+    sent_to(&fleet().apply(arrival(1, "stream", "chat"), NOW)).expect("a place")
 }
 
 fn place(state: &mut State, id: u64, now: Millis) -> Arc<str> {
     state.apply(Event::ConfigurationConfirmed { at: now }, now);
-    sent(&state.apply(ask(id, "stream", "chat"), now)).expect("a place")
+    sent_to(&state.apply(arrival(id, "stream", "chat"), now)).expect("a place")
 }
 
 #[test]
@@ -97,11 +97,11 @@
 #[test]
 fn what_answers_tell_is_handed_on_once() {
     let mut state = fleet();
-    assert_eq!(state.heard(NOW).upstreams, []);
+    assert_eq!(state.take_observations(NOW).upstreams, []);
     state.apply(Event::Load { upstream: first(), requests: 3, waiting: 1 }, NOW);
     let told = Observation { upstream: first(), requests: 3, waiting: 1, age_ms: 70 };
-    assert_eq!(state.heard(NOW + Millis(70)).upstreams, [told]);
-    assert_eq!(state.heard(NOW + Millis(70)).upstreams, []);
+    assert_eq!(state.take_observations(NOW + Millis(70)).upstreams, [told]);
+    assert_eq!(state.take_observations(NOW + Millis(70)).upstreams, []);
 }
 
 #[test]
@@ -111,8 +111,8 @@
         let later = NOW + Millis(3_100);
         let heard = Observations { current, upstreams: Vec::new() };
         state.apply(Event::Observations(heard), later);
-        let effects = state.apply(ask(1, "safe", "r-1"), later);
-        assert_eq!(failed(&effects), Some(Kind::StaleConfiguration));
+        let effects = state.apply(arrival(1, "safe", "r-1"), later);
+        assert_eq!(failure(&effects), Some(Kind::StaleConfiguration));
         retry_after(&effects)
     };
     assert_eq!((after(true), after(false)), (Some(50), Some(3_000)));
--- a/components/routing/tests/direct/main.rs
+++ b/components/routing/tests/direct/main.rs
@@ -1,20 +1,20 @@
 //! A router's reducer where upstreams are reached directly.
 
 mod admission;
+mod allocation;
 mod cold;
 mod decisions;
 mod evacuation;
-mod fleet;
+mod fixture;
 mod health;
 mod innocent;
 mod loads;
+mod notices;
 mod pace;
 mod places;
+mod prefixes;
 mod quarantine;
 mod refusals;
-mod rooms;
 mod shares;
 mod silence;
 mod stopping;
-mod warmth;
-mod words;
--- a/components/routing/tests/direct/words.rs
+++ b/components/routing/tests/direct/notices.rs
@@ -7,7 +7,9 @@
 use proptest::prelude::*;
 use routing::{Effect, Event, State};
 
-use crate::fleet::{NOW, ask, engines, engines_only, failed, recorded, refused, retry_after, sent};
+use crate::fixture::{
+    NOW, arrival, engines, engines_only, failure, recorded_decision, refusal, retry_after, sent_to,
+};
 
 /// A rest as upstreams ask for it.
 const REST: Millis = Millis(3_000);
@@ -24,7 +26,7 @@
 fn goes_to(state: &mut State, upstream: &str, now: Millis) -> usize {
     let mut count = 0;
     for id in 1_000..1_020 {
-        let place = sent(&state.apply(ask(id, "stream", &format!("chat-{id}")), now));
+        let place = sent_to(&state.apply(arrival(id, "stream", &format!("chat-{id}")), now));
         count += usize::from(place.as_deref() == Some(upstream));
         state.apply(Event::Cancel { id }, now);
     }
@@ -73,10 +75,10 @@
         [("engine-0", rests("engine-0", REST)), ("engine-1", leaves("engine-1"))]
     {
         assert!(goes_to(&mut state, upstream, NOW) > 0);
-        state.apply(ask(1, "stream", "chat"), NOW);
+        state.apply(arrival(1, "stream", "chat"), NOW);
         state.apply(word, NOW);
-        let next = state.apply(Event::Reply { id: 1, attempt: 1, reply: refused() }, NOW);
-        assert_ne!(sent(&next).as_deref(), Some(upstream));
+        let next = state.apply(Event::Reply { id: 1, attempt: 1, reply: refusal() }, NOW);
+        assert_ne!(sent_to(&next).as_deref(), Some(upstream));
         state.apply(Event::Cancel { id: 1 }, NOW);
     }
 }
@@ -84,13 +86,13 @@
 #[test]
 fn a_request_that_waits_for_a_reading_is_not_sent_to_one_that_came_to_rest() {
     let mut state = engines_only(1);
-    let asked = |id| crate::fleet::asked(id, "stream", "chat", &[7]);
-    assert!(sent(&state.apply(asked(1), NOW)).is_some());
+    let asked = |id| crate::fixture::arrival_with_prefixes(id, "stream", "chat", &[7]);
+    assert!(sent_to(&state.apply(asked(1), NOW)).is_some());
     let waits = state.apply(asked(2), NOW);
     assert!(matches!(waits[..], [Effect::Wait(_)]), "{waits:?}");
     state.apply(rests("engine-0", REST), NOW);
     let effects = state.apply(Event::WaitElapsed { id: 2 }, NOW + Millis(20));
-    assert_eq!(failed(&effects), Some(Kind::NoUpstream));
+    assert_eq!(failure(&effects), Some(Kind::NoUpstream));
 }
 
 #[test]
@@ -100,8 +102,8 @@
     state.apply(rests("engine-1", Millis(2_000)), NOW);
     let mut told: Vec<_> = (1..50)
         .map(|id| {
-            let effects = state.apply(ask(id, "stream", "chat"), NOW);
-            assert_eq!(failed(&effects), Some(Kind::NoUpstream));
+            let effects = state.apply(arrival(id, "stream", "chat"), NOW);
+            assert_eq!(failure(&effects), Some(Kind::NoUpstream));
             retry_after(&effects).expect("a time")
         })
         .collect();
@@ -117,9 +119,9 @@
     for engine in ["engine-0", "engine-1"] {
         state.apply(leaves(engine), NOW);
     }
-    let effects = state.apply(ask(1, "stream", "chat"), NOW);
-    assert_eq!(failed(&effects), Some(Kind::NoUpstream));
-    let decision = recorded(&effects).expect("a decision");
+    let effects = state.apply(arrival(1, "stream", "chat"), NOW);
+    assert_eq!(failure(&effects), Some(Kind::NoUpstream));
+    let decision = recorded_decision(&effects).expect("a decision");
     assert_eq!((&*decision.detail, decision.tries.len()), ("leaving", 0));
     assert!(state.upstreams().all(|it| it.is_leaving() && !it.is_up(NOW)));
 }
@@ -163,9 +165,9 @@
                 }
                 3 => state.apply(engines(&vec!["d"; place + 1]), now),
                 4 => state.apply(Event::ConnectionFailed { id: id.saturating_sub(1), attempt: 1, sent: true }, now),
-                _ => state.apply(ask(id, "stream", &format!("chat-{ms}")), now),
+                _ => state.apply(arrival(id, "stream", &format!("chat-{ms}")), now),
             };
-            if let Some(to) = sent(&effects) {
+            if let Some(to) = sent_to(&effects) {
                 let place: usize = to.trim_start_matches("engine-").parse().expect("a place");
                 prop_assert!(quiet[place] <= now, "{} until {}, at {}", to, quiet[place], now);
             }
--- a/components/routing/tests/direct/pace.rs
+++ b/components/routing/tests/direct/pace.rs
@@ -7,7 +7,7 @@
 use routing::{Event, Mechanisms, Settings, State};
 use wire::{Delay, Load, Loads, Pace};
 
-use crate::fleet::{NOW, ask, failed, router, sent, settings};
+use crate::fixture::{NOW, arrival, failure, router, sent_to, settings};
 
 const ENGINES: [&str; 4] = ["engine-0", "engine-1", "engine-2", "engine-3"];
 
@@ -25,7 +25,7 @@
 
 /// Where the first request of a chat goes.
 fn place(state: &mut State) -> Arc<str> {
-    sent(&state.apply(ask(1, "stream", "chat"), NOW)).expect("a place")
+    sent_to(&state.apply(arrival(1, "stream", "chat"), NOW)).expect("a place")
 }
 
 fn slow(upstream: &Arc<str>, percent: u32, age_ms: u64) -> Event {
@@ -65,7 +65,7 @@
     for upstream in ENGINES {
         state.apply(slow(&upstream.into(), 300, 0), NOW);
     }
-    assert_eq!(failed(&state.apply(ask(1, "stream", "chat"), NOW)), Some(Kind::WouldMiss));
+    assert_eq!(failure(&state.apply(arrival(1, "stream", "chat"), NOW)), Some(Kind::WouldMiss));
 }
 
 #[test]
@@ -74,8 +74,8 @@
     let upstream: Arc<str> = "engine-0".into();
     state.apply(Event::Pace { upstream: upstream.clone(), percent: 250 }, NOW);
     let told = Pace { upstream, percent: 250, age_ms: 300 };
-    assert_eq!(state.paces(NOW + Millis(300)), [told]);
-    assert_eq!(state.paces(NOW + Millis(300)), []);
+    assert_eq!(state.take_paces(NOW + Millis(300)), [told]);
+    assert_eq!(state.take_paces(NOW + Millis(300)), []);
 }
 
 #[test]
--- a/components/routing/tests/direct/places.rs
+++ b/components/routing/tests/direct/places.rs
@@ -10,14 +10,15 @@
 use routing::{Effect, Event, Host, Mechanisms, Reply, Settings, State};
 use wire::{Claim, End, Finish, Head, Status};
 
-use crate::fleet::{
-    NOW, ask, evacuated, failed, plain, recorded, refused, retry_after, router, sent, settings,
+use crate::fixture::{
+    NOW, arrival, evacuated, failure, recorded_decision, refusal, retry_after, router, sent_to,
+    services, settings,
 };
 
 /// A router of so many plain upstreams whose pool is short.
 fn short(count: usize) -> State {
     let mut state = router(settings());
-    state.apply(plain(count), NOW);
+    state.apply(services(count), NOW);
     state.apply(Event::Saturated { pool: "plain".into(), duration: Millis(1_500) }, NOW);
     state
 }
@@ -38,8 +39,8 @@
 
 /// Has request `id` ask for a place; returns its number.
 fn claim(state: &mut State, id: u64, kind: &str) -> u64 {
-    let effects = state.apply(ask(id, kind, "chat"), NOW);
-    assert_eq!(sent(&effects), None, "nothing is sent before a place is granted");
+    let effects = state.apply(arrival(id, kind, "chat"), NOW);
+    assert_eq!(sent_to(&effects), None, "nothing is sent before a place is granted");
     claimed(&effects).expect("a claim").number
 }
 
@@ -57,17 +58,17 @@
 #[test]
 fn a_pool_becomes_short_with_the_first_request_that_is_turned_away_for_lack_of_room() {
     let mut state = router(settings());
-    state.apply(plain(3), NOW);
-    let effects = state.apply(ask(1, "safe", "chat"), NOW);
-    assert!(sent(&effects).is_some() && claimed(&effects).is_none());
-    let effects = state.apply(Event::Reply { id: 1, attempt: 1, reply: refused() }, NOW);
+    state.apply(services(3), NOW);
+    let effects = state.apply(arrival(1, "safe", "chat"), NOW);
+    assert!(sent_to(&effects).is_some() && claimed(&effects).is_none());
+    let effects = state.apply(Event::Reply { id: 1, attempt: 1, reply: refusal() }, NOW);
     assert!(effects.iter().any(|it| matches!(it, Effect::ReportSaturation { .. })), "{effects:?}");
     assert!(claimed(&effects).is_some(), "a further try takes a place like any other");
-    let effects = state.apply(ask(2, "unsafe", "chat"), NOW);
+    let effects = state.apply(arrival(2, "unsafe", "chat"), NOW);
     assert!(claimed(&effects).is_some());
     let later = NOW + Millis(2_000);
-    let effects = state.apply(ask(3, "unsafe", "chat"), later);
-    assert!(sent(&effects).is_some(), "nobody has said that it is still short");
+    let effects = state.apply(arrival(3, "unsafe", "chat"), later);
+    assert!(sent_to(&effects).is_some(), "nobody has said that it is still short");
 }
 
 #[test]
@@ -85,16 +86,16 @@
     }]);
     let tells = Event::Load { upstream: "plain-0".into(), requests: 1, waiting: 0 };
     let cases = [
-        (Settings { mechanisms: off, ..settings() }, plain(1), None),
+        (Settings { mechanisms: off, ..settings() }, services(1), None),
         (settings(), unlisted, None),
-        (settings(), plain(1), Some(tells)),
+        (settings(), services(1), Some(tells)),
     ];
     for (settings, hosts, event) in cases {
         let mut state = router(settings);
         state.apply(hosts, NOW);
         event.map(|it| state.apply(it, NOW));
         state.apply(Event::Saturated { pool: "plain".into(), duration: Millis(1_500) }, NOW);
-        assert!(sent(&state.apply(ask(1, "safe", "chat"), NOW)).is_some());
+        assert!(sent_to(&state.apply(arrival(1, "safe", "chat"), NOW)).is_some());
     }
 }
 
@@ -104,7 +105,7 @@
     for (id, upstream) in [(1, "plain-0"), (2, "plain-2")] {
         let number = claim(&mut state, id, "safe");
         let effects = state.apply(granted(id, number, upstream), NOW);
-        assert_eq!(sent(&effects).as_deref(), Some(upstream));
+        assert_eq!(sent_to(&effects).as_deref(), Some(upstream));
         assert_eq!(released(&answer(&mut state, id)), Some((number, Finish::Answered)));
     }
 }
@@ -113,7 +114,7 @@
 fn a_permit_is_given_back_however_its_request_ends() {
     let ends = [
         (Event::ConnectionFailed { id: 1, attempt: 1, sent: true }, Finish::Failed),
-        (Event::Reply { id: 1, attempt: 1, reply: refused() }, Finish::Full),
+        (Event::Reply { id: 1, attempt: 1, reply: refusal() }, Finish::Full),
         (Event::Cancel { id: 1 }, Finish::Unused),
         (Event::Expire { id: 1 }, Finish::Unused),
     ];
@@ -131,8 +132,8 @@
     let number = claim(&mut state, 1, "unsafe");
     let effects = state.apply(Event::Cancel { id: 1 }, NOW);
     assert_eq!(released(&effects), Some((number, Finish::Unused)));
-    assert_eq!(recorded(&effects).expect("a decision").outcome, Outcome::NotRun);
-    assert!(sent(&state.apply(granted(1, number, "plain-0"), NOW)).is_none());
+    assert_eq!(recorded_decision(&effects).expect("a decision").outcome, Outcome::NotRun);
+    assert!(sent_to(&state.apply(granted(1, number, "plain-0"), NOW)).is_none());
 }
 
 #[test]
@@ -140,9 +141,9 @@
     let mut state = short(1);
     let number = claim(&mut state, 1, "unsafe");
     let effects = state.apply(Event::Denied { id: 1, number, after_ms: 700 }, NOW);
-    assert_eq!(failed(&effects), Some(Kind::WouldMiss));
+    assert_eq!(failure(&effects), Some(Kind::WouldMiss));
     assert_eq!(retry_after(&effects), Some(700));
-    let decision = recorded(&effects).expect("a decision");
+    let decision = recorded_decision(&effects).expect("a decision");
     assert!(decision.tries.is_empty() && decision.outcome == Outcome::NotRun);
 }
 
@@ -155,7 +156,7 @@
     let claim = claimed(&effects).expect("a further try takes a place like any other");
     assert_eq!(claim.avoid, ["plain-0".into()]);
     let denied = Event::Denied { id: 1, number: claim.number, after_ms: 700 };
-    assert_eq!(sent(&state.apply(denied, NOW)).as_deref(), Some("plain-1"));
+    assert_eq!(sent_to(&state.apply(denied, NOW)).as_deref(), Some("plain-1"));
 }
 
 #[test]
@@ -164,12 +165,12 @@
     let number = claim(&mut state, 1, "safe");
     state.apply(Event::Leaving { upstream: "plain-0".into() }, NOW);
     let effects = state.apply(granted(1, number, "plain-0"), NOW);
-    assert_eq!(sent(&effects), None);
+    assert_eq!(sent_to(&effects), None);
     assert_eq!(released(&effects), Some((number, Finish::Unused)));
     let anew = claimed(&effects).expect("another claim");
     assert!(anew.number != number && anew.avoid == ["plain-0".into()]);
     let effects = state.apply(granted(1, anew.number, "plain-1"), NOW);
-    assert_eq!(sent(&effects).as_deref(), Some("plain-1"));
+    assert_eq!(sent_to(&effects).as_deref(), Some("plain-1"));
 }
 
 #[test]
@@ -178,16 +179,16 @@
     let number = claim(&mut state, 1, "safe");
     state.apply(evacuated(&["d"]), NOW);
     let effects = state.apply(granted(1, number, "plain-0"), NOW);
-    assert_eq!(sent(&effects), None);
-    assert_eq!(failed(&effects), Some(Kind::NoUpstream));
+    assert_eq!(sent_to(&effects), None);
+    assert_eq!(failure(&effects), Some(Kind::NoUpstream));
 }
 
 #[test]
 fn decisions_that_come_late_or_twice_change_nothing() {
     let mut state = short(2);
     let number = claim(&mut state, 1, "safe");
-    assert!(sent(&state.apply(granted(1, number + 1, "plain-0"), NOW)).is_none());
-    assert!(sent(&state.apply(granted(1, number, "plain-0"), NOW)).is_some());
+    assert!(sent_to(&state.apply(granted(1, number + 1, "plain-0"), NOW)).is_none());
+    assert!(sent_to(&state.apply(granted(1, number, "plain-0"), NOW)).is_some());
     assert!(state.apply(granted(1, number, "plain-1"), NOW).is_empty());
     assert!(state.apply(Event::Denied { id: 1, number, after_ms: 1 }, NOW).is_empty());
     assert!(state.apply(Event::Unanswered { id: 1, number }, NOW).is_empty());
@@ -198,7 +199,7 @@
     let mut state = short(2);
     let number = claim(&mut state, 1, "safe");
     let effects = state.apply(Event::Unanswered { id: 1, number }, NOW);
-    assert!(sent(&effects).is_some());
+    assert!(sent_to(&effects).is_some());
     assert_eq!(released(&answer(&mut state, 1)), None);
 }
 
@@ -212,8 +213,8 @@
         let number = claim(&mut state, id, "unsafe");
         let event = events(number, id).nth(usize::from(which > 0)).expect("an event");
         let effects = state.apply(event, NOW + Millis(5_000));
-        assert_eq!(sent(&effects), None);
-        assert_eq!(failed(&effects), Some(Kind::ExpiredWaiting));
+        assert_eq!(sent_to(&effects), None);
+        assert_eq!(failure(&effects), Some(Kind::ExpiredWaiting));
         assert_eq!(released(&effects), Some((number, Finish::Unused)));
     }
 }
--- a/components/routing/tests/direct/quarantine.rs
+++ b/components/routing/tests/direct/quarantine.rs
@@ -5,9 +5,9 @@
 use clock::Millis;
 use errors::Kind;
 use proptest::prelude::*;
-use routing::{Check, Crash, Effect, Event, Settings, State};
+use routing::{Crash, Effect, Event, Liveness, Settings, State};
 
-use crate::fleet::{NOW, ask, engines, failed, retry_after, router, sent, settings};
+use crate::fixture::{NOW, arrival, engines, failure, retry_after, router, sent_to, settings};
 
 /// The work that [`ask`] asks for under number 7.
 const WORK: u64 = 7;
@@ -20,7 +20,7 @@
 }
 
 fn crash(upstream: &str, at: Millis) -> Crash {
-    Crash { content: WORK, upstream: upstream.into(), at, cleared: false }
+    Crash { fingerprint: WORK, upstream: upstream.into(), at, cleared: false }
 }
 
 /// Another router tells that these upstreams have ended under the work.
@@ -31,10 +31,13 @@
 /// Whether the work is sent if it comes now.
 fn is_sent(state: &mut State, now: Millis) -> bool {
     state.apply(Event::ConfigurationConfirmed { at: now }, now);
-    let effects = state.apply(ask(WORK, "stream", "chat"), now);
+    let effects = state.apply(arrival(WORK, "stream", "chat"), now);
     state.apply(Event::Cancel { id: WORK }, now);
-    assert!(sent(&effects).is_some() || failed(&effects) == Some(Kind::HeldBack), "{effects:?}");
-    sent(&effects).is_some()
+    assert!(
+        sent_to(&effects).is_some() || failure(&effects) == Some(Kind::HeldBack),
+        "{effects:?}"
+    );
+    sent_to(&effects).is_some()
 }
 
 /// What the effects tell the other routers.
@@ -44,12 +47,12 @@
         _ => Vec::new(),
     };
     let crashes = effects.iter().flat_map(report);
-    crashes.map(|it| (it.content, it.upstream)).collect()
+    crashes.map(|it| (it.fingerprint, it.upstream)).collect()
 }
 
 /// Sends a request of which the connection ends; returns where it went.
 fn lose(state: &mut State, id: u64, kind: &str) -> (Arc<str>, Vec<Effect>) {
-    let upstream = sent(&state.apply(ask(id, kind, "chat"), NOW)).expect("a place");
+    let upstream = sent_to(&state.apply(arrival(id, kind, "chat"), NOW)).expect("a place");
     let effects = state.apply(Event::ConnectionFailed { id, attempt: 1, sent: true }, NOW);
     (upstream, effects)
 }
@@ -62,7 +65,7 @@
     let effects = state.apply(told(&["c"]), NOW);
     assert!(matches!(effects[..], [Effect::Quarantine { fingerprint: WORK, duration: LASTS }]));
     assert!(!is_sent(&mut state, NOW));
-    assert!(sent(&state.apply(ask(8, "stream", "chat"), NOW)).is_some());
+    assert!(sent_to(&state.apply(arrival(8, "stream", "chat"), NOW)).is_some());
 }
 
 #[test]
@@ -83,14 +86,14 @@
     let checks =
         |effects: &[Effect]| effects.iter().filter(|it| matches!(it, Effect::Check { .. })).count();
     for id in 1..4 {
-        state.apply(ask(id, "stream", "chat"), NOW);
+        state.apply(arrival(id, "stream", "chat"), NOW);
     }
     let lost = |state: &mut State, id| {
         state.apply(Event::ConnectionFailed { id, attempt: 1, sent: true }, NOW)
     };
     assert_eq!([1, 2].map(|id| checks(&lost(&mut state, id))), [1, 0]);
     let upstream: Arc<str> = "engine-0".into();
-    let ended = state.apply(Event::Checked { upstream, check: Check::Ended }, NOW);
+    let ended = state.apply(Event::Checked { upstream, check: Liveness::Dead }, NOW);
     assert_eq!(reported(&ended), [(1, "engine-0".into()), (2, "engine-0".into())]);
     assert_eq!(checks(&lost(&mut state, 3)), 1);
 }
@@ -99,9 +102,9 @@
 fn a_connection_that_ends_while_its_upstream_stands_tells_nothing() {
     let mut state = fleet();
     let (upstream, _) = lose(&mut state, WORK, "unsafe");
-    let check = Check::Stands;
+    let check = Liveness::Alive;
     state.apply(Event::Checked { upstream: upstream.clone(), check }, NOW);
-    let ended = state.apply(Event::Checked { upstream, check: Check::Ended }, NOW);
+    let ended = state.apply(Event::Checked { upstream, check: Liveness::Dead }, NOW);
     assert!(reported(&ended).is_empty());
 }
 
@@ -109,7 +112,7 @@
 fn an_upstream_that_ended_without_a_word_is_known_by_the_list() {
     let mut state = fleet();
     state.apply(engines(&["d", "d"]), NOW);
-    let upstream = sent(&state.apply(ask(WORK, "stream", "chat"), NOW)).expect("a place");
+    let upstream = sent_to(&state.apply(arrival(WORK, "stream", "chat"), NOW)).expect("a place");
     let later = NOW + Millis(3_000);
     state.apply(Event::Stalled { id: WORK, attempt: 1 }, later);
     let effects = state.apply(Event::Hosts(Vec::new()), later);
@@ -122,7 +125,7 @@
     let Event::Hosts(mut hosts) = engines(&["d"]) else { unreachable!("it is a list") };
     state.apply(Event::Hosts(hosts.clone()), NOW);
     lose(&mut state, WORK, "stream");
-    let check = Check::Unknown;
+    let check = Liveness::Unknown;
     state.apply(Event::Checked { upstream: hosts[0].name.clone(), check }, NOW);
     hosts[0].name = "engine-0@1".into();
     let effects = state.apply(Event::Hosts(hosts), NOW);
@@ -132,11 +135,11 @@
 #[test]
 fn a_request_under_way_is_not_sent_on_once_its_work_is_held_back() {
     let mut state = fleet();
-    let first = sent(&state.apply(ask(WORK, "stream", "chat"), NOW));
+    let first = sent_to(&state.apply(arrival(WORK, "stream", "chat"), NOW));
     assert!(first.is_some());
     state.apply(told(&["a", "b", "c"]), NOW);
     let effects = state.apply(Event::ConnectionFailed { id: WORK, attempt: 1, sent: true }, NOW);
-    assert_eq!((sent(&effects), failed(&effects)), (None, Some(Kind::LinkLost)));
+    assert_eq!((sent_to(&effects), failure(&effects)), (None, Some(Kind::LinkLost)));
 }
 
 #[test]
@@ -145,7 +148,7 @@
     state.apply(told(&["a", "b", "c"]), NOW);
     let later = NOW + Millis(200_000);
     state.apply(Event::ConfigurationConfirmed { at: later }, later);
-    let effects = state.apply(ask(WORK, "stream", "chat"), later);
+    let effects = state.apply(arrival(WORK, "stream", "chat"), later);
     assert_eq!(retry_after(&effects), Some(400_000));
     assert!(!is_sent(&mut state, NOW + Millis(LASTS.0 - 1)));
     assert!(is_sent(&mut state, NOW + LASTS));
@@ -165,7 +168,7 @@
 fn what_is_remembered_is_bounded_and_the_oldest_goes_first() {
     let mut state = fleet();
     state.apply(told(&["a", "b", "c"]), NOW);
-    let other = |content| Crash { content, ..crash("a", NOW + Millis(1)) };
+    let other = |fingerprint| Crash { fingerprint, ..crash("a", NOW + Millis(1)) };
     let later = NOW + Millis(1);
     state.apply(Event::Crashes((1_000..5_096).map(other).collect()), later);
     assert!(is_sent(&mut state, later));
@@ -185,15 +188,15 @@
         let mut log: Vec<Crash> = Vec::new();
         for (number, (router, reader, ends)) in steps.into_iter().enumerate() {
             let state = &mut fleet[router];
-            let effects = state.apply(ask(WORK, "stream", "chat"), NOW);
-            let Some(upstream) = sent(&effects) else {
+            let effects = state.apply(arrival(WORK, "stream", "chat"), NOW);
+            let Some(upstream) = sent_to(&effects) else {
                 prop_assert!(known[router].len() >= 3);
                 continue;
             };
             prop_assert!(known[router].len() < 3, "sent after {:?}", known[router]);
             state.apply(Event::ConnectionFailed { id: WORK, attempt: 1, sent: true }, NOW);
             state.apply(Event::Cancel { id: WORK }, NOW);
-            let check = if ends { Check::Ended } else { Check::Stands };
+            let check = if ends { Liveness::Dead } else { Liveness::Alive };
             let told = state.apply(Event::Checked { upstream, check }, NOW);
             for effect in told {
                 if let Effect::ReportCrashes(crashes) = effect {
--- a/components/routing/tests/direct/refusals.rs
+++ b/components/routing/tests/direct/refusals.rs
@@ -11,7 +11,7 @@
 use routing::{Event, Reply, State};
 use wire::Head;
 
-use crate::fleet::{NOW, ask, engines_only, refused, sent};
+use crate::fixture::{NOW, arrival, engines_only, refusal, sent_to};
 
 /// How far apart requests come.
 const GAP: Millis = Millis(20);
@@ -32,14 +32,14 @@
     let (mut tries, mut unserved) = (0, 0);
     for number in 0..count {
         let (id, now) = (now.0 + number, now + Millis(number * GAP.0));
-        let mut effects = state.apply(ask(id, kind, &format!("chat-{number}")), now);
+        let mut effects = state.apply(arrival(id, kind, &format!("chat-{number}")), now);
         let mut attempt = 1;
-        while sent(&effects).is_some_and(|it| refuses(&it)) {
+        while sent_to(&effects).is_some_and(|it| refuses(&it)) {
             tries += 1;
-            effects = state.apply(Event::Reply { id, attempt, reply: refused() }, now);
+            effects = state.apply(Event::Reply { id, attempt, reply: refusal() }, now);
             attempt += 1;
         }
-        unserved += usize::from(sent(&effects).is_none());
+        unserved += usize::from(sent_to(&effects).is_none());
         if number >= TAKES {
             answer(state, id - TAKES, now);
         }
@@ -78,7 +78,7 @@
     let mut places: Vec<Arc<str>> = Vec::new();
     for id in 0..100 {
         let now = later + Millis(id * GAP.0);
-        places.extend(sent(&state.apply(ask(id, "stream", &format!("chat-{id}")), now)));
+        places.extend(sent_to(&state.apply(arrival(id, "stream", &format!("chat-{id}")), now)));
         if id >= TAKES {
             answer(&mut state, id - TAKES, now);
         }
@@ -91,8 +91,8 @@
 fn where_all_turn_requests_away_they_are_still_asked() {
     let mut state = engines_only(2);
     send(&mut state, "stream", 100, NOW, |_| true);
-    let effects = state.apply(ask(1, "stream", "chat"), NOW + Millis(2_000));
-    assert!(sent(&effects).is_some(), "nobody else can say whether they have room again");
+    let effects = state.apply(arrival(1, "stream", "chat"), NOW + Millis(2_000));
+    assert!(sent_to(&effects).is_some(), "nobody else can say whether they have room again");
 }
 
 #[test]
@@ -101,10 +101,10 @@
     let mut places: Vec<Arc<str>> = Vec::new();
     for id in 0..400 {
         let now = NOW + Millis(id * GAP.0);
-        let place = sent(&state.apply(ask(id, "stream", &format!("chat-{id}")), now));
+        let place = sent_to(&state.apply(arrival(id, "stream", &format!("chat-{id}")), now));
         let place = place.expect("a place");
         if &*place == "engine-0" && id.is_multiple_of(10) {
-            state.apply(Event::Reply { id, attempt: 1, reply: refused() }, now);
+            state.apply(Event::Reply { id, attempt: 1, reply: refusal() }, now);
         }
         places.push(place);
         if id >= TAKES {
@@ -123,7 +123,7 @@
     let mut places = std::collections::BTreeMap::<Arc<str>, usize>::new();
     for id in 0..100 {
         let now = later + Millis(id * GAP.0);
-        let place = sent(&state.apply(ask(id, "stream", &format!("chat-{id}")), now));
+        let place = sent_to(&state.apply(arrival(id, "stream", &format!("chat-{id}")), now));
         *places.entry(place.expect("a place")).or_default() += 1;
         if id >= TAKES {
             answer(&mut state, id - TAKES, now);
--- a/components/routing/tests/direct/shares.rs
+++ b/components/routing/tests/direct/shares.rs
@@ -9,7 +9,9 @@
 use routing::{Arrival, Event, Mechanisms, Rank, Reply, Settings, State};
 use wire::{Delay, Demands, End, Head, Load, Loads, Status};
 
-use crate::fleet::{NOW, ask, failed, recorded, retry_after, router, sent, settings};
+use crate::fixture::{
+    NOW, arrival, failure, recorded_decision, retry_after, router, sent_to, settings,
+};
 
 /// The seed of the cases, so that every run is the same.
 const SEED: u64 = 20_261_203;
@@ -40,14 +42,14 @@
 
 /// A workspace asks for a stream.
 fn asked(id: u64, workspace: &str) -> Event {
-    let Event::Arrival(it) = ask(id, "stream", &format!("chat-{id}")) else { unreachable!() };
+    let Event::Arrival(it) = arrival(id, "stream", &format!("chat-{id}")) else { unreachable!() };
     Event::Arrival(Arrival { workspace: workspace.into(), ..it })
 }
 
 /// Asks of a workspace that are answered, so that they leave no load behind.
 fn served(state: &mut State, ids: std::ops::Range<u64>, workspace: &str) {
     for id in ids {
-        assert!(sent(&state.apply(asked(id, workspace), NOW)).is_some());
+        assert!(sent_to(&state.apply(asked(id, workspace), NOW)).is_some());
         let head = Reply::Head(Head { attempt: 1, status: 200, headers: Vec::new() });
         state.apply(Event::Reply { id, attempt: 1, reply: head }, NOW);
         let end = End { attempt: 1, chunks: 0, bytes: 0, status: Status::default() };
@@ -59,7 +61,7 @@
 fn refused(state: &mut State, ids: std::ops::Range<u64>, workspace: &str) {
     for id in ids {
         let effects = state.apply(asked(id, workspace), NOW);
-        assert_eq!(failed(&effects), Some(Kind::WouldMiss));
+        assert_eq!(failure(&effects), Some(Kind::WouldMiss));
     }
 }
 
@@ -84,18 +86,18 @@
     let mut state = surge(on());
     wait_at_all(&mut state, BUSY);
     let effects = state.apply(asked(1, "hot"), LATER);
-    assert_eq!(failed(&effects), Some(Kind::WouldMiss));
-    assert!(sent(&state.apply(asked(2, "a"), LATER)).is_some());
-    assert!(sent(&state.apply(asked(3, "new"), LATER)).is_some());
+    assert_eq!(failure(&effects), Some(Kind::WouldMiss));
+    assert!(sent_to(&state.apply(asked(2, "a"), LATER)).is_some());
+    assert!(sent_to(&state.apply(asked(3, "new"), LATER)).is_some());
 }
 
 #[test]
 fn a_refusal_tells_how_the_workspace_stands() {
     let mut state = surge(on());
-    let decision = recorded(&state.apply(asked(1, "hot"), LATER)).expect("a decision");
+    let decision = recorded_decision(&state.apply(asked(1, "hot"), LATER)).expect("a decision");
     let standing = decision.standing.expect("a standing");
     assert!(matches!(standing.rank, Rank::Over(times) if times > 3.0), "{standing:?}");
-    let decision = recorded(&state.apply(asked(2, "new"), LATER)).expect("a decision");
+    let decision = recorded_decision(&state.apply(asked(2, "new"), LATER)).expect("a decision");
     assert_eq!(decision.standing.map(|it| it.rank), Some(Rank::Below));
     assert_eq!(&*decision.pool, "engine");
 }
@@ -104,7 +106,7 @@
 fn a_workspace_over_its_share_is_served_where_little_waits() {
     let mut state = surge(on());
     wait_at_all(&mut state, 1);
-    assert!(sent(&state.apply(asked(1, "hot"), LATER)).is_some());
+    assert!(sent_to(&state.apply(asked(1, "hot"), LATER)).is_some());
 }
 
 #[test]
@@ -116,7 +118,7 @@
     state.apply(Event::Loads(Loads { router: "front-2".into(), current: true, upstreams }), NOW);
     for id in 1..3 {
         let effects = state.apply(asked(id, "hot"), LATER);
-        assert_eq!(sent(&effects).as_deref(), Some("engine-3"));
+        assert_eq!(sent_to(&effects).as_deref(), Some("engine-3"));
     }
 }
 
@@ -138,7 +140,7 @@
         wait_at_all(&mut state, FULL);
         refused(&mut state, 100..180, "hot");
         wait_at_all(&mut state, BUSY);
-        assert!(sent(&state.apply(asked(1, "hot"), LATER)).is_some());
+        assert!(sent_to(&state.apply(asked(1, "hot"), LATER)).is_some());
     }
 }
 
@@ -149,7 +151,7 @@
     served(&mut state, 200..205, "a");
     assert_eq!(state.demands(&Arc::from("front-1"), NOW), []);
     wait_at_all(&mut state, BUSY);
-    assert!(sent(&state.apply(asked(1, "hot"), NOW)).is_some());
+    assert!(sent_to(&state.apply(asked(1, "hot"), NOW)).is_some());
 }
 
 #[test]
@@ -162,7 +164,7 @@
     let upstreams = ENGINES.iter().map(load).collect();
     let loads = Loads { router: "front-2".into(), current: true, upstreams };
     state.apply(Event::Loads(loads), later);
-    assert!(sent(&state.apply(asked(1, "hot"), later)).is_some());
+    assert!(sent_to(&state.apply(asked(1, "hot"), later)).is_some());
 }
 
 #[test]
@@ -170,14 +172,14 @@
     let told = surge(on()).demands(&Arc::from("front-2"), NOW);
     let mut state = fleet(on());
     wait_at_all(&mut state, BUSY);
-    assert!(sent(&state.apply(asked(1, "hot"), NOW)).is_some());
+    assert!(sent_to(&state.apply(asked(1, "hot"), NOW)).is_some());
     let mut state = fleet(on());
     for demands in told {
         state.apply(Event::Demands(demands), NOW);
     }
     wait_at_all(&mut state, BUSY);
-    assert_eq!(failed(&state.apply(asked(1, "hot"), NOW)), Some(Kind::WouldMiss));
-    assert!(sent(&state.apply(asked(2, "a"), NOW)).is_some());
+    assert_eq!(failure(&state.apply(asked(1, "hot"), NOW)), Some(Kind::WouldMiss));
+    assert!(sent_to(&state.apply(asked(2, "a"), NOW)).is_some());
 }
 
 /// Another router tells that the hot workspace was served much, and that others were not;
@@ -206,7 +208,7 @@
 /// How many of a hundred requests of a workspace are sent where nothing waits.
 fn sent_of_a_hundred(state: &mut State, workspace: &str) -> usize {
     let one = |id: &u64| {
-        let went = sent(&state.apply(asked(*id, workspace), NOW)).is_some();
+        let went = sent_to(&state.apply(asked(*id, workspace), NOW)).is_some();
         state.apply(Event::Cancel { id: *id }, NOW);
         went
     };
@@ -231,9 +233,9 @@
 fn shares_can_be_switched_off() {
     let mut state = surge(Mechanisms { shares: false, ..on() });
     wait_at_all(&mut state, BUSY);
-    assert!(sent(&state.apply(asked(1, "hot"), LATER)).is_some());
+    assert!(sent_to(&state.apply(asked(1, "hot"), LATER)).is_some());
     wait_at_all(&mut state, FULL);
-    let decision = recorded(&state.apply(asked(2, "hot"), LATER)).expect("a decision");
+    let decision = recorded_decision(&state.apply(asked(2, "hot"), LATER)).expect("a decision");
     assert_eq!(decision.standing, None);
     assert_eq!(state.demands(&Arc::from("front-1"), LATER), []);
 }
@@ -245,17 +247,17 @@
     let settings = Settings { mechanisms: on(), weights, ..settings() };
     state.apply(Event::Settings(Box::new(settings)), NOW);
     wait_at_all(&mut state, BUSY);
-    assert!(sent(&state.apply(asked(1, "hot"), LATER)).is_some());
+    assert!(sent_to(&state.apply(asked(1, "hot"), LATER)).is_some());
 }
 
 #[test]
 fn what_may_have_run_is_not_turned_away_for_a_share() {
     let mut state = surge(on());
     wait_at_all(&mut state, 0);
-    assert!(sent(&state.apply(asked(1, "hot"), LATER)).is_some());
+    assert!(sent_to(&state.apply(asked(1, "hot"), LATER)).is_some());
     wait_at_all(&mut state, BUSY);
     let effects = state.apply(Event::ConnectionFailed { id: 1, attempt: 1, sent: true }, LATER);
-    assert!(sent(&effects).is_some(), "{effects:?}");
+    assert!(sent_to(&effects).is_some(), "{effects:?}");
 }
 
 fn config() -> Config {
@@ -290,7 +292,7 @@
             let demands = Demands { router: "front-2".into(), pool: "engine".into(), summary: word };
             state.apply(Event::Demands(demands), LATER);
             wait_at_all(&mut state, waiting);
-            sent(&state.apply(asked(1, "small"), LATER))
+            sent_to(&state.apply(asked(1, "small"), LATER))
         };
         prop_assert_eq!(decide(on()), decide(Mechanisms { shares: false, ..on() }));
     }
--- a/components/routing/tests/direct/silence.rs
+++ b/components/routing/tests/direct/silence.rs
@@ -7,7 +7,7 @@
 use routing::{Effect, Event, Reply, Settings, State};
 use wire::{Chunk, Head};
 
-use crate::fleet::{NOW, ask, router, sent, settings};
+use crate::fixture::{NOW, arrival, router, sent_to, settings};
 
 /// How long nothing may come from an upstream on the tests' routes: twice their
 /// objective of 800 ms.
@@ -19,7 +19,7 @@
 
 /// Sends a request at the start; returns where it went.
 fn start(state: &mut State, id: u64, kind: &str) -> Arc<str> {
-    sent(&state.apply(ask(id, kind, "chat"), NOW)).expect("a place")
+    sent_to(&state.apply(arrival(id, kind, "chat"), NOW)).expect("a place")
 }
 
 fn stall(state: &mut State, id: u64, attempt: u32, now: Millis) -> Vec<Effect> {
@@ -45,7 +45,7 @@
     let silent = start(&mut state, 1, "safe");
     let effects = stall(&mut state, 1, 1, NOW + SILENCE);
     assert!(matches!(effects[0], Effect::Cancel));
-    let next = sent(&effects).expect("another place");
+    let next = sent_to(&effects).expect("another place");
     assert_ne!(next, silent);
     assert!(!is_up(&state, &silent, NOW + SILENCE));
 }
@@ -56,7 +56,7 @@
     let silent = start(&mut state, 1, "unsafe");
     assert!(stays(&stall(&mut state, 1, 1, NOW + SILENCE)));
     for id in 2..6 {
-        let place = sent(&state.apply(ask(id, "unsafe", "other"), NOW + SILENCE));
+        let place = sent_to(&state.apply(arrival(id, "unsafe", "other"), NOW + SILENCE));
         assert_ne!(place.expect("a place"), silent);
     }
     // Its answer still counts, and the upstream with it.
@@ -72,7 +72,7 @@
     let upstream = start(&mut state, 1, "stream");
     assert_eq!(start(&mut state, 2, "stream"), upstream);
     state.apply(Event::Reply { id: 2, attempt: 1, reply: head(1) }, NOW + Millis(100));
-    assert!(sent(&stall(&mut state, 1, 1, NOW + SILENCE)).is_some());
+    assert!(sent_to(&stall(&mut state, 1, 1, NOW + SILENCE)).is_some());
     assert!(is_up(&state, &upstream, NOW + SILENCE));
 }
 
@@ -107,10 +107,10 @@
     // Its back-off is over, which is at most 10 s.
     let later = NOW + Millis(11_000);
     state.apply(Event::ConfigurationConfirmed { at: later }, later);
-    assert_eq!(sent(&state.apply(ask(2, "stream", "chat"), later)), Some(silent.clone()));
-    assert_ne!(sent(&state.apply(ask(3, "stream", "chat"), later)), Some(silent.clone()));
+    assert_eq!(sent_to(&state.apply(arrival(2, "stream", "chat"), later)), Some(silent.clone()));
+    assert_ne!(sent_to(&state.apply(arrival(3, "stream", "chat"), later)), Some(silent.clone()));
     state.apply(Event::Reply { id: 2, attempt: 1, reply: head(1) }, later);
-    assert_eq!(sent(&state.apply(ask(4, "stream", "chat"), later)), Some(silent));
+    assert_eq!(sent_to(&state.apply(arrival(4, "stream", "chat"), later)), Some(silent));
 }
 
 #[test]
@@ -125,7 +125,7 @@
         effects.iter().filter(|it| matches!(it, Effect::CloseIdle { .. })).count()
     };
     let mut state = fleet();
-    assert_eq!(fresh(&state.apply(ask(1, "safe", "chat"), NOW)), Some(false));
+    assert_eq!(fresh(&state.apply(arrival(1, "safe", "chat"), NOW)), Some(false));
     let effects = stall(&mut state, 1, 1, NOW + SILENCE);
     assert_eq!((fresh(&effects), forgotten(&effects)), (Some(true), 1));
     start(&mut state, 2, "unsafe");
--- a/components/routing/tests/direct/stopping.rs
+++ b/components/routing/tests/direct/stopping.rs
@@ -5,7 +5,7 @@
 use routing::{Effect, Event, Reply, State};
 use wire::{Chunk, End, Head, Observations, Status};
 
-use crate::fleet::{NOW, ask, failed, router, sent, settings};
+use crate::fixture::{NOW, arrival, failure, router, sent_to, settings};
 
 /// When requests in flight are cut.
 const UNTIL: Millis = Millis(1_006_000);
@@ -24,9 +24,9 @@
 /// A router that stops, has seen a stream of 800 ms and has one in flight.
 fn stopping() -> State {
     let mut state = router(settings());
-    state.apply(ask(1, "stream", "chat"), NOW);
+    state.apply(arrival(1, "stream", "chat"), NOW);
     answer(&mut state, 1, Millis(800));
-    state.apply(ask(2, "stream", "chat"), NOW);
+    state.apply(arrival(2, "stream", "chat"), NOW);
     state.apply(Event::Drain { until: UNTIL }, NOW);
     state
 }
@@ -36,9 +36,9 @@
     let mut state = stopping();
     state.apply(Event::ConfigurationConfirmed { at: UNTIL }, NOW);
     let last = Millis(UNTIL.0 - room.0);
-    assert!(sent(&state.apply(ask(3, kind, "chat"), last)).is_some());
-    let late = state.apply(ask(4, kind, "chat"), last + Millis(1));
-    assert_eq!(failed(&late), Some(Kind::Draining));
+    assert!(sent_to(&state.apply(arrival(3, kind, "chat"), last)).is_some());
+    let late = state.apply(arrival(4, kind, "chat"), last + Millis(1));
+    assert_eq!(failure(&late), Some(Kind::Draining));
 }
 
 #[test]
@@ -60,11 +60,11 @@
 fn answers_of_a_short_time_say_nothing_of_long_ones() {
     let mut state = stopping();
     state.apply(Event::ConfigurationConfirmed { at: NOW + Millis(1_600) }, NOW + Millis(1_600));
-    let early = state.apply(ask(3, "stream", "chat"), NOW + Millis(1_600));
-    assert_eq!(failed(&early), Some(Kind::Draining));
+    let early = state.apply(arrival(3, "stream", "chat"), NOW + Millis(1_600));
+    assert_eq!(failure(&early), Some(Kind::Draining));
     // Twice the time that is left has been looked at.
     state.apply(Event::ConfigurationConfirmed { at: NOW + Millis(4_000) }, NOW + Millis(4_000));
-    assert!(sent(&state.apply(ask(4, "stream", "chat"), NOW + Millis(4_000))).is_some());
+    assert!(sent_to(&state.apply(arrival(4, "stream", "chat"), NOW + Millis(4_000))).is_some());
 }
 
 #[test]
@@ -72,8 +72,8 @@
     let mut state = stopping();
     let effects = answer(&mut state, 2, Millis(500));
     assert!(effects.iter().any(|it| matches!(it, Effect::Drained)));
-    let next = state.apply(ask(3, "stream", "chat"), NOW + Millis(501));
-    assert_eq!(failed(&next), Some(Kind::Draining));
+    let next = state.apply(arrival(3, "stream", "chat"), NOW + Millis(501));
+    assert_eq!(failure(&next), Some(Kind::Draining));
 }
 
 #[test]
--- a/components/routing/tests/listing.rs
+++ b/components/routing/tests/listing.rs
@@ -2,7 +2,7 @@
 
 use clock::Millis;
 use intents::Labels;
-use routing::{Host, Listing, RETURN};
+use routing::{Host, Listing, MISSING_TTL};
 
 fn host(name: &str, leaving: bool) -> Host {
     Host {
@@ -50,12 +50,12 @@
 fn what_is_missing_after_an_outage_has_time_to_come_back() {
     let mut listing = two();
     let now = Millis(10_000);
-    listing.came_back(now);
+    listing.begin_recovery(now);
     assert!(!listing.keep_only(&["b".into()]));
     assert_eq!(names(&listing), ["a", "b"]);
-    assert_eq!(listing.next_expiry(), Some(now + RETURN));
-    assert!(!listing.expire(now + RETURN - Millis(1)));
-    assert!(listing.expire(now + RETURN));
+    assert_eq!(listing.next_expiry(), Some(now + MISSING_TTL));
+    assert!(!listing.expire(now + MISSING_TTL - Millis(1)));
+    assert!(listing.expire(now + MISSING_TTL));
     assert_eq!(names(&listing), ["b"]);
 }
 
@@ -63,25 +63,25 @@
 fn what_others_remember_has_time_to_come_back() {
     let mut listing = two();
     let now = Millis(10_000);
-    assert!(listing.remember(vec![host("b", false), host("c", false)], now));
-    assert!(!listing.remember(vec![host("b", false)], now));
+    assert!(listing.restore(vec![host("b", false), host("c", false)], now));
+    assert!(!listing.restore(vec![host("b", false)], now));
     assert_eq!(names(&listing), ["a", "b", "c"]);
-    assert!(listing.is_in_doubt());
+    assert!(listing.has_expiring());
     // What the list itself says goes first.
     assert!(!listing.put(host("c", false), 1));
-    assert!(!listing.is_in_doubt());
-    assert!(!listing.expire(now + RETURN));
-    assert!(listing.remember(vec![host("d", false)], now));
-    assert!(listing.expire(now + RETURN));
+    assert!(!listing.has_expiring());
+    assert!(!listing.expire(now + MISSING_TTL));
+    assert!(listing.restore(vec![host("d", false)], now));
+    assert!(listing.expire(now + MISSING_TTL));
     assert_eq!(names(&listing), ["a", "b", "c"]);
 }
 
 #[test]
 fn what_comes_back_after_an_outage_stays_even_with_a_lower_sequence() {
     let mut listing = two();
-    listing.came_back(Millis(10_000));
+    listing.begin_recovery(Millis(10_000));
     listing.remove("a");
-    listing.settle();
+    listing.finish_recovery();
     assert!(!listing.put(host("a", false), 0));
     assert_eq!(listing.next_expiry(), None);
     assert!(!listing.expire(Millis(99_000)));
@@ -91,9 +91,9 @@
 #[test]
 fn what_is_removed_after_the_first_answer_of_an_outage_is_gone_at_once() {
     let mut listing = two();
-    listing.came_back(Millis(10_000));
+    listing.begin_recovery(Millis(10_000));
     listing.remove("a");
-    listing.settle();
+    listing.finish_recovery();
     assert!(listing.remove("b"));
     assert_eq!(names(&listing), ["a"]);
 }
@@ -109,10 +109,10 @@
     assert!(listing.put(start(10), 50));
     assert!(listing.put(start(20), 1));
     assert!(!listing.put(start(10), 99));
-    assert!(!listing.remember(vec![start(10)], Millis(10_000)));
+    assert!(!listing.restore(vec![start(10)], Millis(10_000)));
     assert_eq!(names(&listing), ["a@20", "b"]);
     // Nor while the later one's entry is missing after an outage.
-    listing.came_back(Millis(10_000));
+    listing.begin_recovery(Millis(10_000));
     assert!(!listing.remove("a"));
     assert!(!listing.put(start(10), 100));
     assert_eq!(names(&listing), ["a@20", "b"]);
@@ -121,7 +121,7 @@
 #[test]
 fn what_can_not_be_read_is_not_waited_for() {
     let mut listing = two();
-    listing.came_back(Millis(10_000));
+    listing.begin_recovery(Millis(10_000));
     assert!(listing.drop_unreadable("a"));
     assert!(!listing.drop_unreadable("a"));
     assert!(!listing.keep_only(&["b".into()]));
@@ -143,12 +143,12 @@
 fn an_older_copy_brings_nothing_back_that_was_removed_until_it_is_written_again() {
     let mut listing = two();
     assert!(listing.remove("a"));
-    listing.came_back_older(Millis(10_000));
+    listing.begin_restored_recovery(Millis(10_000));
     assert!(!listing.put(host("a", false), 1));
     assert!(!listing.keep_only(&["a".into()]));
-    listing.settle();
+    listing.finish_recovery();
     assert_eq!(names(&listing), ["b"]);
-    assert_eq!(listing.next_expiry(), Some(Millis(10_000) + RETURN));
+    assert_eq!(listing.next_expiry(), Some(Millis(10_000) + MISSING_TTL));
     assert!(listing.put(host("a", false), 2));
     // A later start is another upstream, whatever its count.
     assert!(listing.remove("a"));
