--- a/components/routing/src/beliefs/warmth.rs
+++ b/components/routing/src/beliefs/warmth.rs
@@ -39,7 +39,7 @@
 impl PrefixIndex {
     /// Notes that `upstream` has read `parts`; returns those that it was not
     /// known to have read.
-    pub(crate) fn record_read(&mut self, parts: &[u64], upstream: &Arc<str>) -> Vec<u64> {
+    pub(crate) fn record_cached(&mut self, parts: &[u64], upstream: &Arc<str>) -> Vec<u64> {
         let fresh = parts.iter().copied().filter(|it| !self.holds(*it, upstream)).collect();
         self.note(parts, upstream, None);
         fresh
@@ -47,13 +47,13 @@
 
     /// Notes that `upstream` begins to read `parts`; returns those that it was
     /// neither known to have read nor to be reading.
-    pub(crate) fn record_reading(
+    pub(crate) fn record_prefilling(
         &mut self,
         parts: &[u64],
         upstream: &Arc<str>,
         now: Millis,
     ) -> Vec<u64> {
-        let known = |it: &u64| self.holds(*it, upstream) || self.is_reading(*it, upstream, now);
+        let known = |it: &u64| self.holds(*it, upstream) || self.is_prefilling(*it, upstream, now);
         let fresh: Vec<u64> = parts.iter().copied().filter(|it| !known(it)).collect();
         self.note(&fresh, upstream, Some(now));
         fresh
@@ -94,7 +94,7 @@
     }
 
     /// Whether `upstream` is reading `part`.
-    pub(crate) fn is_reading(&self, part: u64, upstream: &str, now: Millis) -> bool {
+    pub(crate) fn is_prefilling(&self, part: u64, upstream: &str, now: Millis) -> bool {
         let since = |it: &Place| it.reading.is_some_and(|at| at.until(now) < READING);
         self.known(part).any(|it| &*it.upstream == upstream && since(it))
     }
--- a/components/routing/src/requests/reply.rs
+++ b/components/routing/src/requests/reply.rs
@@ -134,7 +134,8 @@
         request.start_answer(head.status, now);
         let mut effects = vec![Effect::Head(head)];
         if let Some(upstream) = request.upstream().cloned() {
-            let parts = self.prefix_index.record_read(&request.arrival.prefix_hashes(), &upstream);
+            let parts =
+                self.prefix_index.record_cached(&request.arrival.prefix_hashes(), &upstream);
             effects.extend(share(&upstream, parts, Stage::Cached));
             self.record_alive(&upstream);
         }
--- a/components/routing/src/selection/prefixes.rs
+++ b/components/routing/src/selection/prefixes.rs
@@ -46,9 +46,9 @@
         }
         match warm.stage {
             Stage::Prefilling => {
-                self.prefix_index.record_reading(&warm.prefixes, &warm.upstream, now)
+                self.prefix_index.record_prefilling(&warm.prefixes, &warm.upstream, now)
             }
-            Stage::Cached => self.prefix_index.record_read(&warm.prefixes, &warm.upstream),
+            Stage::Cached => self.prefix_index.record_cached(&warm.prefixes, &warm.upstream),
         };
         Vec::new()
     }
@@ -69,7 +69,7 @@
         let Some(request) = self.requests.get(&id) else {
             return false;
         };
-        let reading = |part: &Prefix| self.prefix_index.is_reading(part.hash, upstream, now);
+        let reading = |part: &Prefix| self.prefix_index.is_prefilling(part.hash, upstream, now);
         self.settings.mechanisms.waits
             && request.tries.is_empty()
             && now < request.wait_until
@@ -110,7 +110,7 @@
             return None;
         }
         let parts =
-            self.prefix_index.record_reading(&request.arrival.prefix_hashes(), upstream, now);
+            self.prefix_index.record_prefilling(&request.arrival.prefix_hashes(), upstream, now);
         share(upstream, parts, Stage::Prefilling)
     }
 }
