--- a/components/permits/src/issuer.rs
+++ b/components/permits/src/issuer.rs
@@ -28,7 +28,7 @@
 /// How long a pool must go without waiting or refused requests before it counts as recovered.
 const RECOVERY_PERIOD: Millis = Millis(3_000);
 
-/// The hundredths of an objective within which an answer must be expected.
+/// The percentage of an objective within which an answer must be expected.
 const ANSWER_PERCENT: u64 = 60;
 
 /// The part of the objective that a request may always wait, as a divisor.
@@ -103,8 +103,8 @@
         self.upstreams.retain(|_, upstream| upstream.listed || upstream.in_flight > 0);
     }
 
-    /// Handles a router's claims, releases and renewals, which may arrive late, repeatedly or
-    /// never. Returns the decisions on claims that were received before.
+    /// Handles a router's claims, releases and renewals, which may be late, repeated or lost.
+    /// Returns the verdicts on claims that were received before.
     pub fn receive(&mut self, claims: &Claims, now: Millis) -> Vec<Verdict> {
         for held in &claims.held {
             self.renew(&claims.router, held, now);
@@ -118,8 +118,7 @@
     }
 
     /// Grants free permits and refuses requests that can't get one in time. New requests that
-    /// wait are also returned: the reply shows their routers that the owner is alive, and the
-    /// round-trip time.
+    /// wait are also returned, as the reply confirms to their routers that the owner is alive.
     pub fn decide(&mut self, now: Millis) -> Vec<Decision> {
         self.expire(now);
         let mut decisions = Vec::new();
@@ -165,7 +164,7 @@
         }
     }
 
-    /// Iterates over the upstreams with their limits and the permits in use.
+    /// Iterates over the upstreams: name, limit and permits in use.
     pub fn upstreams(&self, now: Millis) -> impl Iterator<Item = (&Arc<str>, usize, usize)> {
         let permits = move |upstream: &Upstream| upstream.limit.permits(self.objective, now);
         self.upstreams
@@ -347,15 +346,21 @@
 
     fn waiting(&self, id: Id, now: Millis) -> Option<Decision> {
         let waiter = self.queue.get(&id)?;
-        let (workspace, waited) = (waiter.workspace.clone(), waiter.arrived.until(now));
-        Some(Decision { router: id.0, number: id.1, workspace, state: ClaimState::Queued, waited })
+        let (workspace, age) = (waiter.workspace.clone(), waiter.arrived.until(now));
+        Some(Decision {
+            router: id.0,
+            number: id.1,
+            workspace,
+            state: ClaimState::Queued,
+            waited: age,
+        })
     }
 
     fn decision(&mut self, waiter: Waiter, state: ClaimState, now: Millis) -> Decision {
         self.record_decision(&waiter.id, Some(state.clone()), now);
         let (router, number) = waiter.id;
-        let waited = waiter.arrived.until(now);
-        Decision { router, number, workspace: waiter.workspace, state, waited }
+        let age = waiter.arrived.until(now);
+        Decision { router, number, workspace: waiter.workspace, state, waited: age }
     }
 
     fn record_decision(&mut self, id: &Id, state: Option<ClaimState>, now: Millis) {
--- a/components/permits/src/limit.rs
+++ b/components/permits/src/limit.rs
@@ -50,7 +50,7 @@
     min_latency: f64,
     /// How long a permit is held, in milliseconds.
     held: Option<f64>,
-    /// When the limit was lowered for a refusal last.
+    /// When the limit was last lowered for a refusal.
     lowered: Millis,
     failures: u32,
     /// Refusals since the last answer.
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Whether it is of an upstream that lists so many slots.
+    /// Whether this is the limit of an upstream that lists so many slots.
     pub(crate) fn is_for(&self, slots: u64) -> bool {
         #[expect(clippy::cast_precision_loss, reason = "slots are few")]
         let listed = slots as f64;
@@ -156,7 +156,7 @@
         permits
     }
 
-    /// How many it answers in a millisecond.
+    /// The number of requests answered per millisecond.
     pub fn rate_per_ms(&self) -> f64 {
         self.concurrency / self.latency_ms().max(1.0)
     }
--- a/components/permits/tests/issuer.rs
+++ b/components/permits/tests/issuer.rs
@@ -90,11 +90,9 @@
                     ..Claim::default()
                 };
                 self.claims.push((*router, claim));
-                self.send_claim(self.claims.len() - 1);
-            }
-            Step::Repeat(which) if !self.claims.is_empty() => {
-                self.send_claim(which % self.claims.len())
+                self.send(self.claims.len() - 1);
             }
+            Step::Repeat(which) if !self.claims.is_empty() => self.send(which % self.claims.len()),
             Step::Release { which, end } if !self.claims.is_empty() => {
                 let (router, claim) = &self.claims[which % self.claims.len()];
                 let ends = [Finish::Answered, Finish::Full, Finish::Failed, Finish::Unused];
@@ -121,7 +119,7 @@
         self.decide();
     }
 
-    fn send_claim(&mut self, which: usize) {
+    fn send(&mut self, which: usize) {
         let (router, claim) = self.claims[which].clone();
         self.receive(&Claims { claims: vec![claim], ..Self::message(router) });
     }
