--- a/components/edge/src/lib.rs
+++ b/components/edge/src/lib.rs
@@ -1,10 +1,9 @@
-//! What an adapter to a platform implements.
+//! The interface between a router and the platform that it runs on.
 //!
-//! A [`Dialect`] reads and writes the headers of callers and upstreams, a
-//! [`Store`] reads the platform's key-value service. Both speak of the
-//! platform only in this project's own types, so that no other code knows the
-//! platform's names. They are the two edges at which a router calls code that
-//! differs between platforms.
+//! An adapter to a platform implements [`Dialect`], which parses and writes the
+//! headers of callers and upstreams, and [`Store`], which accesses the platform's
+//! key-value service. Both use types of this project only, so that no other code
+//! depends on a platform.
 
 mod dialect;
 mod store;
@@ -18,17 +17,17 @@
 pub use store::{Announcement, Batch, BatchFuture, Era, Error, Fact, Lease, Revision, Store};
 pub use wire::Peer;
 
-/// Makes the edges on the thread that serves.
+/// Creates the adapter on the thread that uses it.
 pub type Connect = Arc<dyn Fn() -> LocalBoxFuture<'static, Result<Adapter, String>> + Send + Sync>;
 
-/// The edges of one router.
+/// The adapter of a router to its platform.
 #[derive(Clone)]
 pub struct Adapter {
-    /// The headers of callers and upstreams.
+    /// Parses and writes the headers of callers and upstreams.
     pub dialect: Rc<dyn Dialect>,
     /// The key-value service.
     pub store: Rc<dyn Store>,
-    /// The path at which the platform asks whether a router is ready.
+    /// The path of the platform's readiness checks.
     pub ready_path: &'static str,
 }
 
--- a/components/edge/src/store.rs
+++ b/components/edge/src/store.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service, as far as a router follows it.
+//! The parts of the platform's key-value service that routers use.
 
 use std::sync::Arc;
 
@@ -11,135 +11,134 @@
 use snafu::Snafu;
 use wire::Peer;
 
-/// Something that the service holds or that has changed there.
+/// An entry of the service, or a change to one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Fact {
     /// The operator's configuration.
     #[serde(with = "document")]
     Configuration(Box<Document>),
-    /// An upstream has an entry.
+    /// An upstream's entry.
     Upstream {
         /// The upstream.
         host: Host,
-        /// Grows with what the upstream says of itself since its start; a lower one is older.
+        /// Grows with each write of the upstream since its start; a lower one is older.
         sequence: u64,
         /// How much longer it is cold.
         cold: Millis,
     },
     /// An upstream's entry was removed.
     UpstreamRemoved(Arc<str>),
-    /// An upstream's entry was missing as the service answered again after an outage, in which
-    /// entries lapse: it may come back.
+    /// An upstream's entry is missing after an outage of the service, in which entries expire; it
+    /// may come back.
     UpstreamMissing(Arc<str>),
     /// An upstream's entry can't be read.
     UnreadableUpstream {
         /// The entry's name.
         entry: Arc<str>,
-        /// What is wrong.
+        /// Why it can't be read.
         reason: String,
     },
-    /// A failure domain is to take nothing until that is taken back.
+    /// A failure domain takes no requests until it is restored.
     Evacuated(Arc<str>),
-    /// A failure domain may take work again.
+    /// A failure domain takes requests again.
     Restored(Arc<str>),
-    /// All failure domains may take work, but for those that are named after this.
+    /// All failure domains take requests, except those in later facts.
     AllRestored,
-    /// A router of the fleet has announced itself.
+    /// A router's announcement.
     Router(Announcement),
-    /// A router's announcement was removed or has lapsed.
+    /// A router's announcement was removed or has expired.
     RouterRemoved(Arc<str>),
-    /// The upstreams that a router has remembered.
+    /// The upstreams that a router has saved for starting routers.
     SavedHosts(Vec<Host>),
-    /// What a router has remembered of warm parts of prompts, as it wrote it.
+    /// The encoded warm prefixes that a router has saved for starting routers.
     SavedPrefixes(Bytes),
-    /// Under what work upstreams ended, as a router told.
+    /// The crashes that a router has reported.
     Crashes {
         /// The router.
         router: Arc<str>,
-        /// All that it told.
+        /// All its reported crashes.
         crashes: Vec<Crash>,
     },
-    /// What a router told of that is no longer kept.
+    /// A router's reported crashes were removed or have expired.
     CrashesRemoved(Arc<str>),
     /// An entry that can't be read.
     Unreadable {
         /// Its key.
         key: Arc<str>,
-        /// What is wrong.
+        /// Why it can't be read.
         reason: String,
     },
 }
 
-/// What a router that follows the service tells of itself there, and of those that hear from it.
+/// The entry of a router that polls the service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
     /// The router.
     pub router: Peer,
-    /// The routers that hear from it.
+    /// Its direct and indirect subscribers.
     #[serde(default)]
     pub hearers: Vec<Peer>,
-    /// The most routers that it has ever counted.
+    /// The largest number of routers that it has counted.
     #[serde(default)]
     pub most: usize,
 }
 
 impl Announcement {
-    /// The router and all that hear from it.
+    /// The router and its subscribers.
     pub fn all(&self) -> impl Iterator<Item = &Peer> {
         std::iter::once(&self.router).chain(&self.hearers)
     }
 }
 
-/// How often the service has come back from an older copy of itself, as it counts that; zero
-/// where it does not tell.
+/// How often the service has been restored from an older copy; zero if it does not report that.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Era(pub u64);
 
-/// A place in the service's history. The numbers of one era are given out again in the next.
+/// A revision of the service's content. Each era reuses numbers of the one before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Revision {
-    /// The era in which it was told.
+    /// The era of the service.
     pub era: Era,
-    /// Its number, which grows with each change.
+    /// The number, which grows with each change.
     pub number: u64,
 }
 
-/// A part of what the service told.
+/// An answer of the service.
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
-    /// What is held or has changed, in order.
+    /// Entries or changes, in order.
     pub facts: Vec<Fact>,
-    /// The revision that the facts are of.
+    /// The revision up to which all changes are included.
     pub revision: Revision,
-    /// The latest revision, in the same era, that any of them may be of: parts that are read one
-    /// after the other are of different ones. Lower than `revision` where none is later.
+    /// The latest revision, in the same era, that any fact may be of, as pages that are read one
+    /// after the other differ in revision. Lower than `revision` if no fact is later.
     pub latest: u64,
-    /// How long the answers were, in bytes.
+    /// The length of the answers in bytes.
     pub bytes: usize,
 }
 
-/// Why the service told nothing.
+/// Why a call of the service failed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// The changes since the revision that was asked for are no longer kept.
+    /// The changes since the requested revision have been compacted.
     #[snafu(display("the history is gone"))]
     HistoryGone,
-    /// The changes since the revision that was asked for are longer than a look may take.
+    /// The changes since the requested revision are too long for a regular poll.
     #[snafu(display("the history is long"))]
     LongHistory,
-    /// The service can't be reached, refused or broke off.
+    /// The service can't be reached, refused the call or broke off.
     #[snafu(display("{reason}"))]
     Unavailable {
-        /// What happened.
+        /// The cause.
         reason: String,
     },
 }
 
-/// A call under way.
+/// The pending answer of a call.
 pub type BatchFuture<'a> = LocalBoxFuture<'a, Result<Batch, Error>>;
 
-/// A lease of the service: what is written with it is removed with it. Where the service comes
-/// back from an older copy, its number may become another writer's.
+/// A lease of the service; entries written with it are removed when it ends. After a restore from
+/// an older copy, its number may belong to another writer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
     /// The era in which it was granted.
@@ -150,40 +149,43 @@
 
 /// The platform's key-value service.
 pub trait Store {
-    /// All that concerns routers, as it is now. The pages of a long answer are
-    /// not of one revision; the batch has the lowest.
+    /// Reads all entries that concern routers. The pages of a long answer may differ in revision;
+    /// the batch has the lowest.
     fn read(&self) -> BatchFuture<'_>;
 
-    /// What has changed after `revision`, as soon as there is something, or
-    /// nothing after `wait`. The history of an earlier era is gone; one that is long is not read.
+    /// Returns the changes after `revision` as soon as there are any, or an empty batch after
+    /// `wait`.
+    ///
+    /// Fails with [`Error::HistoryGone`] if the revision is of an earlier era, and with
+    /// [`Error::LongHistory`] if the changes are too long.
     fn watch(&self, revision: Revision, wait: Millis) -> BatchFuture<'_>;
 
-    /// The same however long it is, without changes to the configuration that others have
-    /// followed where these are many, and without routers whose announcements have ended.
+    /// Like [`Store::watch`] without a limit of the length. Leaves out outdated configurations if
+    /// there are many, and the ends of announcements.
     fn catch_up(&self, revision: Revision, wait: Millis) -> BatchFuture<'_>;
 
-    /// The routers that announce themselves. Where it may be `old`, it may lack those of the
-    /// last seconds, and costs the service little.
+    /// Reads the announcements of all routers. With `old`, the answer may be some seconds old and
+    /// is cheaper for the service.
     fn announcements(&self, old: bool) -> LocalBoxFuture<'_, Result<Vec<Announcement>, Error>>;
 
-    /// Announces a router; it lasts until the lease ends.
+    /// Writes a router's announcement, which is removed with the lease.
     fn announce(
         &self,
         announcement: Announcement,
         lease: Lease,
     ) -> LocalBoxFuture<'_, Result<(), Error>>;
 
-    /// Remembers upstreams for routers that start.
+    /// Saves upstreams for starting routers.
     fn save_hosts(&self, hosts: Vec<Host>) -> LocalBoxFuture<'_, Result<(), Error>>;
 
-    /// Remembers warm parts of prompts for routers that start.
-    fn save_prefixes(&self, parts: Bytes) -> LocalBoxFuture<'_, Result<(), Error>>;
+    /// Saves encoded warm prefixes for starting routers.
+    fn save_prefixes(&self, prefixes: Bytes) -> LocalBoxFuture<'_, Result<(), Error>>;
 
-    /// A lease that lasts for `ttl` after its last renewal.
+    /// Grants a lease that ends `ttl` after its last renewal.
     fn grant_lease(&self, ttl: Millis) -> LocalBoxFuture<'_, Result<Lease, Error>>;
 
-    /// Tells under what work upstreams ended, in place of what `router` told before; it is kept
-    /// until the lease ends.
+    /// Writes the crashes that `router` has seen, replacing its previous report. The report is
+    /// removed with the lease.
     fn report_crashes(
         &self,
         router: Arc<str>,
@@ -191,18 +193,18 @@
         lease: Lease,
     ) -> LocalBoxFuture<'_, Result<(), Error>>;
 
-    /// Renews a lease; `false` means that it is over, as all of an earlier era are.
+    /// Renews a lease; returns `false` if it has ended, like all leases of an earlier era.
     fn renew_lease(&self, lease: Lease) -> LocalBoxFuture<'_, Result<bool, Error>>;
 
-    /// Takes the announcement of router `name` back. Its lease is left to lapse: by the time its
-    /// number may be another writer's.
+    /// Removes the announcement of router `name`. Its lease is left to expire, as its number may
+    /// belong to another writer by now.
     fn withdraw(&self, name: Arc<str>) -> LocalBoxFuture<'_, Result<(), Error>>;
 
-    /// The latest era that an answer told of.
+    /// The latest era that an answer contained.
     fn era(&self) -> Era;
 }
 
-/// A configuration between routers: its own format is JSON, in which what is empty is left out.
+/// Serializes a configuration as JSON, its own format, in which empty fields are left out.
 mod document {
     use intents::Document;
     use serde::de::Error as _;
--- a/components/fleet/src/answers.rs
+++ b/components/fleet/src/answers.rs
@@ -1,16 +1,16 @@
-//! Answers that several routers get.
+//! A cache of the answers to queries of other routers.
 
 use bytes::Bytes;
 use clock::Millis;
 use edge::Revision;
 
-/// How long an answer may be given again: what it says is left of times is older by that.
-const LASTS: Millis = Millis(500);
+/// How long an answer is reused: the remaining durations in it are outdated by that much.
+const ANSWER_TTL: Millis = Millis(500);
 
-/// The most answers that are kept: routers that ask at the same time know different revisions.
-const MOST: usize = 4;
+/// Routers that query at the same time know different revisions.
+const MAX_ANSWERS: usize = 4;
 
-/// An answer to those that know `after`, or nothing, from a router that has come to `revision`.
+/// What has changed after `after`, or all facts if it is `None`, up to `revision`.
 #[derive(Debug)]
 struct Answer {
     after: Option<Revision>,
@@ -19,26 +19,27 @@
     facts: Bytes,
 }
 
-/// The answers that were given lately.
+/// The packed facts of recent answers.
 #[derive(Debug, Default)]
 pub struct AnswerCache {
-    kept: Vec<Answer>,
+    answers: Vec<Answer>,
 }
 
 impl AnswerCache {
-    /// What those get that know `after`, or nothing, from a router that has come to `revision`.
+    /// The packed changes from `after` to `revision`, or all facts if `after` is `None`.
     pub fn get(
         &mut self,
         after: Option<Revision>,
         revision: Revision,
         now: Millis,
     ) -> Option<Bytes> {
-        self.kept.retain(|it| it.revision == revision && it.at.until(now) < LASTS);
-        let answer = self.kept.iter().find(|it| it.after == after)?;
+        self.answers
+            .retain(|answer| answer.revision == revision && answer.at.until(now) < ANSWER_TTL);
+        let answer = self.answers.iter().find(|answer| answer.after == after)?;
         Some(answer.facts.clone())
     }
 
-    /// Keeps an answer; see [`AnswerCache::get`].
+    /// Stores an answer for [`AnswerCache::get`].
     pub fn insert(
         &mut self,
         after: Option<Revision>,
@@ -46,20 +47,21 @@
         facts: Bytes,
         now: Millis,
     ) {
-        self.kept.retain(|it| it.revision == revision && it.at.until(now) < LASTS);
-        if self.kept.len() >= MOST {
-            self.kept.remove(0);
+        self.answers
+            .retain(|answer| answer.revision == revision && answer.at.until(now) < ANSWER_TTL);
+        if self.answers.len() >= MAX_ANSWERS {
+            self.answers.remove(0);
         }
-        self.kept.push(Answer { after, revision, at: now, facts });
+        self.answers.push(Answer { after, revision, at: now, facts });
     }
 
-    /// Forgets all: what they say has changed.
+    /// Drops all answers, as needed when the facts change without a new revision.
     pub fn clear(&mut self) {
-        self.kept.clear();
+        self.answers.clear();
     }
 
-    /// How many bytes are kept.
+    /// The size of all answers in bytes.
     pub fn bytes(&self) -> usize {
-        self.kept.iter().map(|it| it.facts.len()).sum()
+        self.answers.iter().map(|answer| answer.facts.len()).sum()
     }
 }
--- a/components/fleet/src/freshness.rs
+++ b/components/fleet/src/freshness.rs
@@ -1,70 +1,69 @@
-//! How old news of the store may get at a router that hears from others.
+//! How old the store's content may get at a router that reads it from other routers.
 
 use clock::Millis;
 
-/// How long an answer of another router may take to begin beyond its wait for news: one that says
-/// nothing is left while the proof that it told last still counts.
+/// How long an answer of another router may take to begin beyond the wait time of its query. It
+/// leaves time to query another router before the last confirmation is too old.
 pub const ANSWER_TIMEOUT: Millis = Millis(400);
 
-/// How long a router waits for news that is asked as a proof is old: long enough for one that is
-/// about to have some.
-const ANSWER: Millis = Millis(300);
+/// Wait time of a query by a router whose last confirmation is stale.
+const MIN_WAIT: Millis = Millis(300);
 
-/// How long an answer may wait for news: a router that looks at the store has some with each look.
-const NEWS_WAIT: Millis = Millis(1_200);
+/// A router that polls the store has something newer with each poll.
+const MAX_WAIT: Millis = Millis(1_200);
 
-/// How old a proof may be until others are asked, however much time there is.
-const OLD_PROOF: Millis = Millis(1_800);
+/// The age at which a confirmation is stale, however long it is valid.
+const MAX_STALE_AGE: Millis = Millis(1_800);
 
-/// The least age at which others are asked: a look where the store answers slowly and the pause
-/// after it, from the look before on. All that follow know no more then.
-const LOOKS: Millis = Millis(1_400);
+/// The age that confirmations reach at all routers while the store answers slowly.
+const MIN_STALE_AGE: Millis = Millis(1_400);
 
-/// How much sooner than after an outage entries are let go of that are missing after a gap in what
-/// was heard: those that live write each 1,200 ms, and are back by then.
-const SOONER: Millis = Millis(700);
+/// How much of the grace period is skipped after a short gap; the rest still lets each upstream
+/// write its entry once.
+const MAX_GRACE_REDUCTION: Millis = Millis(700);
 
-/// When a router that hears from others has to turn to another one.
+/// When a router that reads from another router has to change its source.
 ///
-/// What a router knows is as old as its proof. A router that falls silent is left, and another
-/// one asked, before that is too old:
+/// The content of a router is as old as its last confirmation. A source that stops answering is
+/// replaced while the confirmation is still valid:
 ///
 /// ```text
-/// age of the proof when it was asked + wait for news + ANSWER_TIMEOUT + ANSWER <= lasts
+/// age of the confirmation at the query + wait time + ANSWER_TIMEOUT + MIN_WAIT <= validity
 /// ```
 ///
-/// and one whose own proof is old is left at `lasts - ANSWER`.
+/// A source whose own confirmation is old is replaced at `validity - MIN_WAIT`.
 #[derive(Clone, Copy, Debug)]
 pub struct Freshness {
-    lasts: Millis,
+    validity: Millis,
 }
 
 impl Freshness {
-    /// News are too old once their proof is older than `lasts`.
-    pub fn new(lasts: Millis) -> Self {
-        Self { lasts }
+    /// Confirmations are valid until they are older than `validity`.
+    pub fn new(validity: Millis) -> Self {
+        Self { validity }
     }
 
-    /// Whether others are to be asked by who has a proof of this age, or none.
-    pub fn is_stale(self, proof: Option<Millis>) -> bool {
-        let oldest = (self.lasts - ANSWER).clamp(LOOKS, OLD_PROOF);
-        proof.is_none_or(|it| it >= oldest)
+    /// Whether a router has to query another source, given the age of its last confirmation.
+    pub fn is_stale(self, age: Option<Millis>) -> bool {
+        let oldest = (self.validity - MIN_WAIT).clamp(MIN_STALE_AGE, MAX_STALE_AGE);
+        age.is_none_or(|age| age >= oldest)
     }
 
-    /// How long the answer to a question may wait for news that is asked with a proof of this
-    /// age, or none; `left` is the time until something is due in any case.
-    pub fn wait(self, proof: Option<Millis>, left: Option<Millis>) -> Millis {
-        let age = proof.filter(|it| !self.is_stale(Some(*it)));
-        let wait = age.map_or(ANSWER, |it| self.lasts - ANSWER - ANSWER_TIMEOUT - it);
-        let wait = wait.clamp(ANSWER, NEWS_WAIT);
-        left.map_or(wait, |it| it.min(wait))
+    /// How long the answer to a query may wait for changes, given the age of the router's last
+    /// confirmation and the time until its next deadline.
+    pub fn wait(self, age: Option<Millis>, left: Option<Millis>) -> Millis {
+        let age = age.filter(|age| !self.is_stale(Some(*age)));
+        let wait = age.map_or(MIN_WAIT, |age| self.validity - MIN_WAIT - ANSWER_TIMEOUT - age);
+        let wait = wait.clamp(MIN_WAIT, MAX_WAIT);
+        left.map_or(wait, |left| left.min(wait))
     }
 
-    /// Since when entries have had time to come back that are missing at `now` after looks have
-    /// failed. Where the proof from before is so new that it still counts, the store has not been
-    /// away for long, and what is missing is rather gone: it is let go of sooner.
-    pub fn grace_start(self, proof: Option<Millis>, now: Millis) -> Millis {
-        let counts = proof.filter(|it| *it < self.lasts);
-        counts.map_or(now, |it| now - it.min(SOONER))
+    /// When the grace period of entries began that are missing at `now`, after polls have failed.
+    ///
+    /// It began earlier if the last confirmation is still valid: the store was unreachable for a
+    /// short time only, and the entries have probably been removed.
+    pub fn grace_start(self, age: Option<Millis>, now: Millis) -> Millis {
+        let valid = age.filter(|age| *age < self.validity);
+        valid.map_or(now, |age| now - age.min(MAX_GRACE_REDUCTION))
     }
 }
--- a/components/fleet/src/gossip.rs
+++ b/components/fleet/src/gossip.rs
@@ -1,9 +1,9 @@
-//! Hints on their way through a fleet too large for each router to tell all others.
+//! Forwarding of hints in a fleet too large for each router to send to all others.
 //!
-//! Hints go the way by which routers hear of the store, in both directions: a router tells the
-//! one that it hears from and those that hear from it, and followers tell each other. Each
-//! router gets each hint once, by datagrams of which one holds many; no router tells more than a
-//! few dozen others, and only followers tell other failure domains.
+//! Hints follow the connections over which routers read the store's content, in both directions:
+//! a router sends them to its source and its subscribers, and pollers send them to each other.
+//! Each router gets each hint once, and only pollers send to other failure domains. A datagram
+//! holds many hints.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -13,48 +13,48 @@
 use edge::Peer;
 use wire::Frame;
 
-/// The most bytes of hints in one datagram: it fits into one packet.
-const DATAGRAM: usize = 1_200;
+/// Keeps a datagram within one packet.
+const MAX_DATAGRAM_BYTES: usize = 1_200;
 
-/// The most hints that wait; beyond that the oldest are given up.
-const MOST: usize = 1_024;
+/// Beyond this the oldest hints are dropped.
+const MAX_PENDING: usize = 1_024;
 
-/// The most routers that pass a hint on. The way from one end of a fleet to the other is shorter;
-/// routers that hear from each other in a circle would pass hints on for ever.
-const MOST_HOPS: u32 = 8;
+/// Ends forwarding between routers that query each other in a cycle; longer than any path
+/// through a fleet.
+const MAX_HOPS: u32 = 8;
 
 /// Where a hint comes from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// From this router itself.
+    /// This router.
     Own,
-    /// From the router that this one hears from.
+    /// The router that this one reads from.
     Source,
-    /// From a follower that this router, a follower too, does not hear from.
+    /// Another poller, if this router is one too.
     Poller,
-    /// From a router that hears from this one.
+    /// A subscriber of this router.
     Subscriber(Arc<str>),
 }
 
 /// The routers that this one exchanges hints with.
 #[derive(Clone, Debug, Default)]
 pub struct Neighbours {
-    /// The one that it hears from.
+    /// The router that this one reads from.
     pub source: Option<Peer>,
-    /// Those that hear from it.
+    /// The direct subscribers of this router.
     pub subscribers: Vec<Peer>,
-    /// The other followers, where it is one.
+    /// The other pollers, if this router is one.
     pub pollers: Vec<Peer>,
 }
 
 impl Neighbours {
-    /// Where a hint that a router of this name sent comes from.
+    /// The origin of a hint that router `name` sent.
     pub fn origin(&self, name: &str) -> Origin {
-        if self.source.as_ref().is_some_and(|it| &*it.name == name) {
+        if self.source.as_ref().is_some_and(|source| &*source.name == name) {
             return Origin::Source;
         }
-        let hearer = self.subscribers.iter().find(|it| &*it.name == name);
-        hearer.map_or(Origin::Poller, |it| Origin::Subscriber(it.name.clone()))
+        let subscriber = self.subscribers.iter().find(|subscriber| &*subscriber.name == name);
+        subscriber.map_or(Origin::Poller, |subscriber| Origin::Subscriber(subscriber.name.clone()))
     }
 }
 
@@ -63,13 +63,13 @@
 struct Hint {
     origin: Origin,
     frame: Frame,
-    /// How many routers have passed it on.
+    /// How many routers have forwarded it.
     hops: u32,
-    came: Millis,
+    queued_at: Millis,
 }
 
 /// A hint as it is sent.
-struct Written {
+struct EncodedHint {
     origin: Origin,
     hops: u32,
     bytes: Bytes,
@@ -78,77 +78,79 @@
 /// The hints that wait to be sent.
 #[derive(Debug, Default)]
 pub struct Gossip {
-    waiting: VecDeque<Hint>,
+    pending: VecDeque<Hint>,
 }
 
 impl Gossip {
-    /// Takes a hint to be sent, which `hops` routers have passed on.
+    /// Queues a hint that `hops` routers have forwarded.
     pub fn push(&mut self, origin: Origin, frame: Frame, hops: u32, now: Millis) {
-        if hops > MOST_HOPS {
+        if hops > MAX_HOPS {
             return;
         }
-        if self.waiting.len() >= MOST {
-            self.waiting.pop_front();
+        if self.pending.len() >= MAX_PENDING {
+            self.pending.pop_front();
         }
-        self.waiting.push_back(Hint { origin, frame, hops, came: now });
+        self.pending.push_back(Hint { origin, frame, hops, queued_at: now });
     }
 
-    /// Whether none waits.
+    /// Whether no hint waits to be sent.
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.pending.is_empty()
     }
 
-    /// The datagrams of all that waits, and to whom each goes.
+    /// Removes all hints, and returns them as datagrams with their receivers.
     pub fn flush(&mut self, neighbours: &Neighbours, now: Millis) -> Vec<(Peer, Bytes)> {
-        let written: Vec<_> = self.waiting.drain(..).filter_map(|it| write(it, now)).collect();
+        let encoded: Vec<_> = self.pending.drain(..).filter_map(|hint| encode(hint, now)).collect();
         let mut datagrams = Vec::new();
-        let goes_up = |it: &&Written| matches!(it.origin, Origin::Own | Origin::Subscriber(_));
+        // Hints of the source and of other pollers have already been sent to the others of them.
+        let goes_up =
+            |hint: &&EncodedHint| matches!(hint.origin, Origin::Own | Origin::Subscriber(_));
         for peer in neighbours.source.iter().chain(&neighbours.pollers) {
-            pack(peer, written.iter().filter(goes_up), &mut datagrams);
+            pack(peer, encoded.iter().filter(goes_up), &mut datagrams);
         }
-        let source = neighbours.source.as_ref().map(|it| &it.name);
-        for peer in neighbours.subscribers.iter().filter(|it| Some(&it.name) != source) {
-            let own = Origin::Subscriber(peer.name.clone());
-            pack(peer, written.iter().filter(|it| it.origin != own), &mut datagrams);
+        let source = neighbours.source.as_ref().map(|source| &source.name);
+        for peer in neighbours.subscribers.iter().filter(|peer| Some(&peer.name) != source) {
+            let sender = Origin::Subscriber(peer.name.clone());
+            pack(peer, encoded.iter().filter(|hint| hint.origin != sender), &mut datagrams);
         }
         datagrams
     }
 }
 
-/// Writes a hint; one that can't be written is given up. Ages grow by the time that it waited.
-fn write(mut hint: Hint, now: Millis) -> Option<Written> {
-    if let Frame::Observations(heard) = &mut hint.frame {
-        for told in &mut heard.upstreams {
-            told.age_ms += hint.came.until(now).0;
+/// Encodes a hint, with ages increased by its time in the queue; `None` if that fails.
+fn encode(mut hint: Hint, now: Millis) -> Option<EncodedHint> {
+    if let Frame::Observations(observations) = &mut hint.frame {
+        for observation in &mut observations.upstreams {
+            observation.age_ms += hint.queued_at.until(now).0;
         }
     }
     let bytes = wire::encode(&hint.frame).ok()?;
-    Some(Written { origin: hint.origin, hops: hint.hops, bytes })
+    Some(EncodedHint { origin: hint.origin, hops: hint.hops, bytes })
 }
 
-/// Puts hints together into datagrams.
+/// Appends datagrams with `hints` for `peer`.
 fn pack<'a>(
     peer: &Peer,
-    hints: impl Iterator<Item = &'a Written>,
+    hints: impl Iterator<Item = &'a EncodedHint>,
     datagrams: &mut Vec<(Peer, Bytes)>,
 ) {
     let mut datagram = BytesMut::new();
     let mut hops = 0;
     for hint in hints {
-        if !datagram.is_empty() && datagram.len() + hint.bytes.len() > DATAGRAM {
-            datagrams.extend(seal(peer, &datagram.split(), hops));
+        if !datagram.is_empty() && datagram.len() + hint.bytes.len() > MAX_DATAGRAM_BYTES {
+            datagrams.extend(finish(peer, &datagram.split(), hops));
             hops = 0;
         }
         hops = hops.max(hint.hops);
         datagram.extend_from_slice(&hint.bytes);
     }
     if !datagram.is_empty() {
-        datagrams.extend(seal(peer, &datagram, hops));
+        datagrams.extend(finish(peer, &datagram, hops));
     }
 }
 
-/// A datagram whose hints are to be passed on.
-fn seal(peer: &Peer, hints: &[u8], hops: u32) -> Option<(Peer, Bytes)> {
+/// A datagram that begins with the hop count of its hints.
+fn finish(peer: &Peer, hints: &[u8], hops: u32) -> Option<(Peer, Bytes)> {
     let head = wire::encode(&Frame::Forwarded(hops)).ok()?;
     let datagram = [&head[..], hints].concat();
     Some((peer.clone(), datagram.into()))
--- a/components/fleet/src/hearers.rs
+++ b/components/fleet/src/hearers.rs
@@ -1,4 +1,4 @@
-//! The routers that hear from this one.
+//! The routers that query this one.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -6,95 +6,95 @@
 use clock::Millis;
 use edge::Peer;
 
-/// How long a router counts as hearing from this one after it asked last: it asks again within
-/// its wait for news.
-const HEARS: Millis = Millis(3_000);
+/// How long a router stays a subscriber after its last query; longer than a query may wait.
+const SUBSCRIPTION_TTL: Millis = Millis(3_000);
 
-/// The most routers that hear from one: a change of 100 KB reaches them within a second over
-/// 20 Mbit/s. Further ones hear from these.
-const MOST_HEARERS: usize = 24;
+/// Every change is sent to each subscriber; more would delay it on a slow link.
+const MAX_SUBSCRIBERS: usize = 24;
 
-/// How long a router is remembered that was referred to others.
-const REFERRED: Millis = Millis(5_000);
+/// How long a referral to other routers is remembered.
+const REFERRAL_TTL: Millis = Millis(5_000);
 
-/// The most routers that are taken by way of one that asks.
-const MOST_NAMED: usize = 1_024;
+/// The most routers that one query may list.
+const MAX_LISTED: usize = 1_024;
 
-/// A router that asks this one, and those that ask it.
+/// A router that queries this one, followed by its own subscribers.
 #[derive(Debug)]
-struct Hearer {
+struct Subscriber {
     routers: Vec<Peer>,
-    asked: Millis,
+    queried_at: Millis,
 }
 
-/// The routers that hear from one, also by way of others.
+/// The direct and indirect subscribers of a router.
 #[derive(Debug)]
 pub struct Subscribers {
     own: Arc<str>,
-    asking: BTreeMap<Arc<str>, Hearer>,
+    direct: BTreeMap<Arc<str>, Subscriber>,
     /// When routers were referred to others.
     referred: BTreeMap<Arc<str>, Millis>,
-    /// Routers that came back since those to which they were referred told them nothing, and when
-    /// they were answered.
+    /// Routers that were answered once, since the routers that they were referred to did not
+    /// answer, and when.
     guests: BTreeMap<Arc<str>, (Peer, Millis)>,
 }
 
 impl Subscribers {
-    /// Nobody has asked the router `own` yet.
+    /// Creates an empty set for the router `own`.
     pub fn new(own: Arc<str>) -> Self {
-        Self { own, asking: BTreeMap::new(), referred: BTreeMap::new(), guests: BTreeMap::new() }
+        Self { own, direct: BTreeMap::new(), referred: BTreeMap::new(), guests: BTreeMap::new() }
     }
 
-    /// Notes that the first of `routers` asks, with those that hear from it. Returns whether it is
-    /// answered: one that was referred to others and comes back is, once.
+    /// Records a query of the first of `routers`; the others are its subscribers. Returns whether
+    /// to answer it: if there are enough subscribers, a router is referred to them, and answered
+    /// once if it comes back.
     pub fn register(&mut self, mut routers: Vec<Peer>, now: Millis) -> bool {
-        let Some(asks) = routers.first().cloned() else { return false };
+        let Some(querier) = routers.first().cloned() else { return false };
         self.expire(now);
-        if !self.asking.contains_key(&asks.name) && self.asking.len() >= MOST_HEARERS {
-            return self.register_referred(asks, now);
+        if !self.direct.contains_key(&querier.name) && self.direct.len() >= MAX_SUBSCRIBERS {
+            return self.register_guest(querier, now);
         }
-        // Routers may hear from each other in a circle. What has come round is not taken again:
-        // nobody would ever forget it.
-        let came_round = routers.iter().any(|it| it.name == self.own);
-        routers.truncate(if came_round { 1 } else { MOST_NAMED });
-        self.asking.insert(asks.name, Hearer { routers, asked: now });
+        // Routers may query each other in a cycle. Lists that went around it are dropped, as
+        // their entries would never expire.
+        let is_cycle = routers.iter().any(|router| router.name == self.own);
+        routers.truncate(if is_cycle { 1 } else { MAX_LISTED });
+        self.direct.insert(querier.name, Subscriber { routers, queried_at: now });
         true
     }
 
-    /// Notes that a router asks that is to hear from others. Returns whether it is answered.
-    fn register_referred(&mut self, asks: Peer, now: Millis) -> bool {
-        let came_back = self.referred.remove(&asks.name).is_some();
-        if came_back && self.guests.len() < MOST_HEARERS {
-            self.guests.insert(asks.name.clone(), (asks, now));
+    /// Records a query of a router that is to query others. Returns whether to answer it.
+    fn register_guest(&mut self, querier: Peer, now: Millis) -> bool {
+        let came_back = self.referred.remove(&querier.name).is_some();
+        if came_back && self.guests.len() < MAX_SUBSCRIBERS {
+            self.guests.insert(querier.name.clone(), (querier, now));
             return true;
         }
-        if self.referred.len() < MOST_NAMED {
-            self.referred.insert(asks.name, now);
+        if self.referred.len() < MAX_LISTED {
+            self.referred.insert(querier.name, now);
         }
         false
     }
 
-    /// Forgets those that no longer ask.
+    /// Removes routers that have not queried for a while.
     pub fn expire(&mut self, now: Millis) {
-        self.asking.retain(|_, it| it.asked.until(now) < HEARS);
-        self.referred.retain(|_, at| at.until(now) < REFERRED);
-        self.guests.retain(|_, (_, at)| at.until(now) < HEARS);
+        self.direct.retain(|_, subscriber| subscriber.queried_at.until(now) < SUBSCRIPTION_TTL);
+        self.referred.retain(|_, at| at.until(now) < REFERRAL_TTL);
+        self.guests.retain(|_, (_, at)| at.until(now) < SUBSCRIPTION_TTL);
     }
 
-    /// Those that ask this router itself.
+    /// The routers that query this one directly.
     pub fn direct(&self) -> impl Iterator<Item = &Peer> {
-        self.asking.values().filter_map(|it| it.routers.first())
+        self.direct.values().filter_map(|subscriber| subscriber.routers.first())
     }
 
-    /// Those to which others may be referred.
+    /// The routers that others may be referred to.
     pub fn relays(&self) -> impl Iterator<Item = &Peer> {
-        self.direct().chain(self.guests.values().map(|(it, _)| it))
+        self.direct().chain(self.guests.values().map(|(guest, _)| guest))
     }
 
-    /// All that hear from this router, each once.
+    /// All direct and indirect subscribers, each once.
     pub fn all(&self) -> Vec<Peer> {
-        let mut met = BTreeSet::from([&self.own]);
-        let further = self.asking.values().flat_map(|it| it.routers.iter().skip(1));
-        self.direct().chain(further).filter(|it| met.insert(&it.name)).cloned().collect()
+        let mut seen = BTreeSet::from([&self.own]);
+        let indirect =
+            self.direct.values().flat_map(|subscriber| subscriber.routers.iter().skip(1));
+        self.direct().chain(indirect).filter(|router| seen.insert(&router.name)).cloned().collect()
     }
 }
--- a/components/fleet/src/home.rs
+++ b/components/fleet/src/home.rs
@@ -1,4 +1,4 @@
-//! When a router that hears from another failure domain goes back to its own.
+//! When a router that reads from another failure domain returns to its own.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,65 +9,65 @@
 
 use crate::Roster;
 
-/// How long a follower of the own domain must be known until those that hear from elsewhere go
-/// over to it: it may have just started.
-const SETTLES: Millis = Millis(2_000);
+/// How long a poller must be known before routers of its domain return to it: it may have just
+/// started.
+const SETTLE_TIME: Millis = Millis(2_000);
 
-/// Over how long they go over, each at a time of its own.
-const SPREAD: u64 = 4_000;
+/// The time over which the returns of a domain's routers are spread.
+const RETURN_SPREAD_MS: u64 = 4_000;
 
-/// The followers of a router's own domain, and from whom it hears.
+/// The pollers of a router's own domain, and its current source.
 #[derive(Debug, Default)]
-pub(crate) struct Home {
-    /// Since when each is known.
-    since: BTreeMap<Arc<str>, Millis>,
-    /// The router that told something new last; `None` if that is over.
+pub(crate) struct Locality {
+    known_since: BTreeMap<Arc<str>, Millis>,
+    /// The router that last sent changes; `None` once it stopped or the store is polled.
     source: Option<Arc<str>>,
 }
 
-impl Home {
-    /// Notes which routers of `own`'s domain follow the store at `now`.
-    pub(crate) fn notice(&mut self, own: &Peer, roster: &Roster, now: Millis) {
-        let here = |it: &&Peer| it.domain == own.domain;
-        self.since.retain(|name, _| roster.is_announced(name));
-        for follower in roster.pollers().filter(here) {
-            self.since.entry(follower.name.clone()).or_insert(now);
+impl Locality {
+    /// Records which routers of `own`'s domain poll the store at `now`.
+    pub(crate) fn refresh(&mut self, own: &Peer, roster: &Roster, now: Millis) {
+        let is_local = |poller: &&Peer| poller.domain == own.domain;
+        self.known_since.retain(|name, _| roster.is_announced(name));
+        for poller in roster.pollers().filter(is_local) {
+            self.known_since.entry(poller.name.clone()).or_insert(now);
         }
     }
 
-    /// Takes from whom the router hears.
-    pub(crate) fn hears(&mut self, name: &str) {
+    /// Sets the router that this one reads from.
+    pub(crate) fn set_source(&mut self, name: &str) {
         if self.source.as_deref() != Some(name) {
             self.source = Some(name.into());
         }
     }
 
-    /// The router no longer hears from `name`.
-    pub(crate) fn leaves(&mut self, name: &str) {
-        self.source.take_if(|it| **it == *name);
+    /// Unsets the source if it is `name`.
+    pub(crate) fn remove_source(&mut self, name: &str) {
+        self.source.take_if(|source| **source == *name);
     }
 
-    /// The router looks at the store by itself.
-    pub(crate) fn looks(&mut self) {
+    /// Unsets the source, as the router polls the store itself.
+    pub(crate) fn clear_source(&mut self) {
         self.source = None;
     }
 
-    /// The order in which groups of routers are asked by `own`: its domain, others, and followers
-    /// of its domain to which it is not its turn to go.
+    /// The order in which routers are queried by `own`: 0 for its domain, 1 for others, 2 for
+    /// pollers of its domain that it may not return to yet.
     pub(crate) fn distance(&self, own: &Peer, peer: &Peer, roster: &Roster, now: Millis) -> u8 {
         if peer.domain != own.domain {
             return 1;
         }
-        if roster.is_announced(&peer.name) && !self.may_go(own, &peer.name, now) {
+        if roster.is_announced(&peer.name) && !self.may_return(own, &peer.name, now) {
             return 2;
         }
         0
     }
 
-    /// Whether `own` may go over to a follower of its domain: at once where it hears from nobody.
-    fn may_go(&self, own: &Peer, follower: &str, now: Millis) -> bool {
+    /// Whether `own` may return to a poller of its domain; at once if it has no source.
+    fn may_return(&self, own: &Peer, poller: &str, now: Millis) -> bool {
         let Some(source) = &self.source else { return true };
-        let turn = SETTLES + Millis(key("home", &own.name) % SPREAD);
-        **source == *follower || self.since.get(follower).is_some_and(|it| it.until(now) >= turn)
+        let delay = SETTLE_TIME + Millis(key("home", &own.name) % RETURN_SPREAD_MS);
+        **source == *poller
+            || self.known_since.get(poller).is_some_and(|since| since.until(now) >= delay)
     }
 }
--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -1,13 +1,14 @@
-//! How the routers of a fleet share looks at the platform's store.
+//! How the routers of a fleet share what they read from the platform's store.
 //!
-//! A few routers of each failure domain look at the store by themselves; the others hear from
-//! them what has changed and how old the proof is that nothing newer is there. [`Sources`]
-//! decides whom a router asks, [`Roster`] keeps who is there, [`Subscribers`] who hears from this router, and [`Mirror`] keeps what the
-//! store holds for those that ask; [`Gossip`] sends hints the same way. All are plain state
-//! without input and output.
+//! A few routers of each failure domain, the pollers, poll the store. The others query a poller
+//! or each other for changes, and for the age of the last confirmation that nothing newer
+//! exists. [`Sources`] chooses where a router reads from, [`Roster`] holds the known routers,
+//! [`Subscribers`] the routers that query this one, [`Mirror`] the store's content for them, and
+//! [`Gossip`] forwards hints along the same connections. All are plain state without input and
+//! output.
 //!
-//! Nobody has to be right: a router that is cut off, suspended or behind makes others look by
-//! themselves sooner, and whoever hears nothing looks at the store.
+//! A router without a usable source polls the store itself, so that isolated, suspended or
+//! lagging routers only cause additional polls.
 
 mod answers;
 mod freshness;
--- a/components/fleet/src/mirror.rs
+++ b/components/fleet/src/mirror.rs
@@ -1,4 +1,4 @@
-//! What the store holds, kept for the routers that ask for it.
+//! A copy of the store's content for the routers that query this one.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,14 +6,13 @@
 use clock::Millis;
 use edge::{Batch, Era, Fact, Revision};
 
-/// The most removals that are kept. A router that asks for changes since before them gets
-/// everything.
-const MOST_REMOVED: usize = 4_096;
+/// Routers that query for changes since an older removal get everything.
+const MAX_REMOVED: usize = 4_096;
 
-/// How far a router has come that asks: the revision, in its era.
+/// The revision that a router has read up to; `None` before its first read.
 pub type Position = Option<Revision>;
 
-/// What facts are told apart by.
+/// Identifies what a fact is about; a later fact with the same key replaces an earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Key {
     Configuration,
@@ -21,24 +20,24 @@
     Evacuated(Arc<str>),
     Router(Arc<str>),
     Crashes(Arc<str>),
-    Remembered,
-    RememberedParts,
+    SavedHosts,
+    SavedPrefixes,
 }
 
-/// A fact, and when it was learnt.
+/// A fact with the time and revision of its arrival.
 #[derive(Debug)]
 struct Entry {
     fact: Fact,
-    /// The revision up to which this router had come when it learnt it.
+    /// The revision that this router had reached when the fact arrived.
     revision: u64,
-    /// The latest revision that it may be of: it may have been read after others of its batch.
+    /// The latest revision that the fact may be of: the pages of one read differ in revision.
     latest: u64,
     at: Millis,
 }
 
 impl Entry {
-    /// Counts as learnt anew once this router has come as far as the entry may: who came to the
-    /// revision of its batch elsewhere may lack it.
+    /// Raises the entry's revision once this router has reached the entry's latest possible one:
+    /// routers that reached the revision of its batch through another router may lack it.
     fn settle(&mut self, revision: u64) {
         if self.revision < self.latest && self.latest <= revision {
             self.revision = revision;
@@ -46,138 +45,151 @@
     }
 }
 
-/// The latest fact of each kind that a router has learnt, with the removals since.
+/// The latest fact for each key, and the removals since.
 #[derive(Debug, Default)]
 pub struct Mirror {
     position: Position,
     entries: BTreeMap<Key, Entry>,
-    /// What was removed: the fact that says so.
+    /// The facts that removed entries.
     removed: BTreeMap<Key, Entry>,
-    /// Removals up to this revision are no longer kept.
+    /// Removals up to this revision have been dropped.
     forgotten: u64,
 }
 
 impl Mirror {
-    /// How far this router has come; `None` before it has read anything.
+    /// The revision that this router has read up to.
     pub fn position(&self) -> Position {
         self.position
     }
 
-    /// Takes what was learnt at `now`. `whole` says that it is all there is; `returns`, that the
-    /// store answers again after an outage, so that what is missing may come back; `doubted`,
-    /// that failure domains are not taken back because the store does not name them.
-    pub fn apply(&mut self, batch: &Batch, whole: bool, returns: bool, doubted: bool, now: Millis) {
-        if self.position.is_none_or(|it| it.era != batch.revision.era) {
+    /// Applies a batch that arrived at `now`.
+    ///
+    /// `full` marks a batch of the whole content, `recovering` one that follows an outage, so that
+    /// removed upstreams are only missing. `keep_evacuated` keeps failure domains evacuated that a
+    /// full batch doesn't list.
+    pub fn apply(
+        &mut self,
+        batch: &Batch,
+        full: bool,
+        recovering: bool,
+        keep_evacuated: bool,
+        now: Millis,
+    ) {
+        if self.position.is_none_or(|position| position.era != batch.revision.era) {
             *self = Self { forgotten: batch.revision.number, ..Self::default() };
         }
         self.position = Some(batch.revision);
         let revision = batch.revision.number;
-        self.entries.values_mut().for_each(|it| it.settle(revision));
-        self.removed.values_mut().for_each(|it| it.settle(revision));
-        let learnt = |fact| Entry { fact, revision, latest: batch.latest, at: now };
-        let mut kept = Vec::new();
-        let restored = whole || batch.facts.contains(&Fact::AllRestored);
+        self.entries.values_mut().for_each(|entry| entry.settle(revision));
+        self.removed.values_mut().for_each(|entry| entry.settle(revision));
+        let new_entry = |fact| Entry { fact, revision, latest: batch.latest, at: now };
+        let mut listed = Vec::new();
+        let lists_evacuated = full || batch.facts.contains(&Fact::AllRestored);
         for fact in &batch.facts {
             if let Some(key) = key(fact) {
-                self.put(key.clone(), learnt(told(fact, returns)), !restored);
-                kept.push(key);
+                self.put(key.clone(), new_entry(published(fact, recovering)), !lists_evacuated);
+                listed.push(key);
             }
         }
-        kept.sort();
-        let is_gone = |it: &Key| match it {
-            Key::Evacuated(_) => restored && !doubted,
-            _ => whole,
+        listed.sort();
+        let is_complete = |key: &Key| match key {
+            Key::Evacuated(_) => lists_evacuated && !keep_evacuated,
+            _ => full,
         };
-        let gone = self.entries.keys().filter(|it| is_gone(it) && kept.binary_search(it).is_err());
+        let gone = self
+            .entries
+            .keys()
+            .filter(|key| is_complete(key) && listed.binary_search(key).is_err());
         for key in gone.cloned().collect::<Vec<_>>() {
             if let Some(fact) = removal(&key) {
-                self.put(key, learnt(told(&fact, returns)), true);
+                self.put(key, new_entry(published(&fact, recovering)), true);
             }
         }
     }
 
-    /// Takes a fact. One that is only listed, not changed, is no news where it is known.
+    /// Stores a fact. `changed` tells changes from listed facts, which may be known already.
     fn put(&mut self, key: Key, entry: Entry, changed: bool) {
         if is_removal(&entry.fact) {
             self.entries.remove(&key);
-            self.remember_removal(key, entry);
+            self.record_removal(key, entry);
             return;
         }
         self.removed.remove(&key);
-        // What changed and changed back is news to who knows of the first change only.
-        if changed || self.entries.get(&key).is_none_or(|it| it.fact != entry.fact) {
+        // A change back to a known value is new to routers that know the value in between.
+        if changed || self.entries.get(&key).is_none_or(|known| known.fact != entry.fact) {
             self.entries.insert(key, entry);
         }
     }
 
-    fn remember_removal(&mut self, key: Key, entry: Entry) {
+    fn record_removal(&mut self, key: Key, entry: Entry) {
         self.removed.insert(key, entry);
-        if self.removed.len() <= MOST_REMOVED {
+        if self.removed.len() <= MAX_REMOVED {
             return;
         }
-        let oldest = self.removed.iter().min_by_key(|(_, it)| it.revision);
-        if let Some((key, revision)) = oldest.map(|(key, it)| (key.clone(), it.revision)) {
+        let oldest = self.removed.iter().min_by_key(|(_, entry)| entry.revision);
+        if let Some((key, revision)) = oldest.map(|(key, entry)| (key.clone(), entry.revision)) {
             self.removed.remove(&key);
             self.forgotten = self.forgotten.max(revision);
         }
     }
 
-    /// Whether it is known what has changed after `position`.
+    /// Whether all changes after `position` are known.
     pub fn covers(&self, position: Revision) -> bool {
         let Some(known) = self.position else { return false };
         known.era == position.era && (self.forgotten..=known.number).contains(&position.number)
     }
 
-    /// What has changed after `position`, as of `now`; `None` where that is not known, so that
-    /// everything is to be told.
+    /// The changes after `position`, as of `now`; `None` if they aren't all known, so that a full
+    /// batch is needed.
     pub fn changes_since(&self, position: Revision, now: Millis) -> Option<Vec<Fact>> {
         if !self.covers(position) {
             return None;
         }
-        let is_new = |it: &&Entry| it.revision > position.number;
+        let is_new = |entry: &&Entry| entry.revision > position.number;
         let removed = self.removed.values().filter(is_new);
-        let changed = self.entries.iter().filter(|(key, it)| is_new(it) && !is_for_starts(key));
-        Some(removed.chain(changed.map(|(_, it)| it)).map(|it| aged(it, now)).collect())
+        let changed =
+            self.entries.iter().filter(|(key, entry)| is_new(entry) && !is_startup_only(key));
+        Some(removed.chain(changed.map(|(_, entry)| entry)).map(|entry| aged(entry, now)).collect())
     }
 
-    /// Whether anything that a running router wants has changed after `position`.
+    /// Whether there are changes after `position` that a running router needs.
     pub fn has_changes_since(&self, position: Revision) -> bool {
-        let is_new = |it: &Entry| it.revision > position.number;
+        let is_new = |entry: &Entry| entry.revision > position.number;
         self.removed.values().any(is_new)
-            || self.entries.iter().any(|(key, it)| is_new(it) && !is_for_starts(key))
+            || self.entries.iter().any(|(key, entry)| is_new(entry) && !is_startup_only(key))
     }
 
-    /// How many facts and removals are kept.
+    /// The number of stored facts and of stored removals.
     pub fn counts(&self) -> (usize, usize) {
         (self.entries.len(), self.removed.len())
     }
 
-    /// All that is known, as of `now`.
+    /// All facts, as of `now`.
     pub fn all(&self, now: Millis) -> Vec<Fact> {
-        let entries = self.entries.values().map(|it| aged(it, now));
+        let entries = self.entries.values().map(|entry| aged(entry, now));
         std::iter::once(Fact::AllRestored).chain(entries).collect()
     }
 
-    /// The era of the store that was heard of last.
+    /// The era of the latest batch.
     pub fn era(&self) -> Era {
-        self.position.map(|it| it.era).unwrap_or_default()
+        self.position.map(|position| position.era).unwrap_or_default()
     }
 }
 
-/// What only routers that start have a use for.
-fn is_for_starts(key: &Key) -> bool {
-    matches!(key, Key::Remembered | Key::RememberedParts)
+/// Whether only starting routers need the fact.
+fn is_startup_only(key: &Key) -> bool {
+    matches!(key, Key::SavedHosts | Key::SavedPrefixes)
 }
 
-/// What says that a whole list lacks what is kept under `key`.
+/// The fact that removes a key which a full batch doesn't list.
 fn removal(key: &Key) -> Option<Fact> {
     match key {
         Key::Upstream(entry) => Some(Fact::UpstreamRemoved(entry.clone())),
         Key::Evacuated(domain) => Some(Fact::Restored(domain.clone())),
         Key::Router(name) => Some(Fact::RouterRemoved(name.clone())),
         Key::Crashes(name) => Some(Fact::CrashesRemoved(name.clone())),
-        // Nobody takes these back.
-        Key::Configuration | Key::Remembered | Key::RememberedParts => None,
+        // These are replaced, but never removed.
+        Key::Configuration | Key::SavedHosts | Key::SavedPrefixes => None,
     }
 }
 
@@ -192,7 +204,7 @@
     )
 }
 
-/// What a fact is told apart by; none where it is of no use to others.
+/// The key of a fact; `None` if other routers don't need it.
 fn key(fact: &Fact) -> Option<Key> {
     match fact {
         Fact::Configuration(_) => Some(Key::Configuration),
@@ -201,26 +213,26 @@
         | Fact::UpstreamMissing(entry)
         | Fact::UnreadableUpstream { entry, .. } => Some(Key::Upstream(entry.clone())),
         Fact::Evacuated(domain) | Fact::Restored(domain) => Some(Key::Evacuated(domain.clone())),
-        Fact::Router(it) => Some(Key::Router(it.router.name.clone())),
+        Fact::Router(announcement) => Some(Key::Router(announcement.router.name.clone())),
         Fact::RouterRemoved(name) => Some(Key::Router(name.clone())),
         Fact::Crashes { router, .. } | Fact::CrashesRemoved(router) => {
             Some(Key::Crashes(router.clone()))
         }
-        Fact::SavedHosts(_) => Some(Key::Remembered),
-        Fact::SavedPrefixes(_) => Some(Key::RememberedParts),
+        Fact::SavedHosts(_) => Some(Key::SavedHosts),
+        Fact::SavedPrefixes(_) => Some(Key::SavedPrefixes),
         Fact::AllRestored | Fact::Unreadable { .. } => None,
     }
 }
 
-/// A fact as it is told to others: an entry that was missing after an outage may come back.
-fn told(fact: &Fact, returns: bool) -> Fact {
+/// The fact for other routers: after an outage, a removed upstream may come back.
+fn published(fact: &Fact, recovering: bool) -> Fact {
     match fact {
-        Fact::UpstreamRemoved(entry) if returns => Fact::UpstreamMissing(entry.clone()),
+        Fact::UpstreamRemoved(entry) if recovering => Fact::UpstreamMissing(entry.clone()),
         _ => fact.clone(),
     }
 }
 
-/// A fact as of `now`: what is left of a time has become less.
+/// The fact as of `now`, with its remaining durations reduced.
 fn aged(entry: &Entry, now: Millis) -> Fact {
     let mut fact = entry.fact.clone();
     if let Fact::Upstream { cold, .. } = &mut fact {
--- a/components/fleet/src/referrals.rs
+++ b/components/fleet/src/referrals.rs
@@ -1,4 +1,4 @@
-//! The routers to which one was referred by those that have enough others to answer.
+//! The routers that this one was referred to by routers that have enough subscribers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,76 +6,74 @@
 use clock::Millis;
 use edge::Peer;
 
-/// How long a router is not asked again that has enough others to answer.
-const FULL: Millis = Millis(5_000);
+/// How long a router with enough subscribers is not queried again.
+const FULL_BACKOFF: Millis = Millis(5_000);
 
-/// How many of those to which a router was referred may tell it nothing until it asks anew those
-/// that referred it.
-const VAIN: usize = 2;
+/// How many candidates of a referral may fail before the referring routers are queried again.
+const MAX_FAILURES: usize = 2;
 
-/// By how much longer it waits with that each time until somebody tells it something.
-const FURTHER: Millis = Millis(300);
+/// By how much the backoff grows with each failed referral.
+const BACKOFF_STEP: Millis = Millis(300);
 
-/// Who referred a router, and to whom.
+/// The routers that referred this one, and its current candidates.
 #[derive(Debug, Default)]
 pub(crate) struct Referrals {
-    /// Until when routers are not asked that referred this one to others.
-    full: BTreeMap<Arc<str>, Millis>,
-    /// Those to which it was referred last, in the order in which they are asked.
-    named: Vec<Peer>,
-    /// How many of them told it nothing.
-    vain: usize,
-    /// How often it has been referred in vain since anybody told it something.
-    rounds: u64,
+    /// Until when the referring routers are not queried.
+    full_until: BTreeMap<Arc<str>, Millis>,
+    /// The routers of the latest referral, in the order in which they are queried.
+    candidates: Vec<Peer>,
+    /// How many candidates of the latest referral failed.
+    failures: usize,
+    /// How many referrals failed since the last useful answer.
+    failed_referrals: u64,
 }
 
 impl Referrals {
-    /// Takes that `name` refers to `others`.
-    pub(crate) fn take(&mut self, name: &Arc<str>, others: Vec<Peer>, now: Millis) {
-        self.full.insert(name.clone(), now + FULL);
-        self.named = others;
-        self.vain = 0;
+    /// Records that `name` referred this router to `others`.
+    pub(crate) fn record(&mut self, name: &Arc<str>, others: Vec<Peer>, now: Millis) {
+        self.full_until.insert(name.clone(), now + FULL_BACKOFF);
+        self.candidates = others;
+        self.failures = 0;
     }
 
-    /// Those to which this router was referred.
-    pub(crate) fn named(&self) -> impl Iterator<Item = &Peer> {
-        self.named.iter()
+    /// The routers that this one was referred to.
+    pub(crate) fn candidates(&self) -> impl Iterator<Item = &Peer> {
+        self.candidates.iter()
     }
 
-    /// Whether a router has lately referred this one to others.
+    /// Whether a router has recently referred this one to others.
     pub(crate) fn is_full(&self, name: &str) -> bool {
-        self.full.contains_key(name)
+        self.full_until.contains_key(name)
     }
 
-    /// Forgets what no longer counts.
-    pub(crate) fn forget(&mut self, now: Millis) {
-        self.full.retain(|_, until| *until > now);
+    /// Removes backoffs that have ended.
+    pub(crate) fn expire(&mut self, now: Millis) {
+        self.full_until.retain(|_, until| *until > now);
     }
 
-    /// Somebody told something.
-    pub(crate) fn served(&mut self) {
-        (self.vain, self.rounds) = (0, 0);
+    /// Resets the failure counts after a useful answer.
+    pub(crate) fn record_success(&mut self) {
+        (self.failures, self.failed_referrals) = (0, 0);
     }
 
-    /// A router tells nothing that is of use. Where this one was referred to it and to others like
-    /// it, those that referred it are asked anew: the first time at once, later less and less
-    /// often.
-    pub(crate) fn leave(&mut self, name: &str, now: Millis) {
-        let before = self.named.len();
-        self.named.retain(|it| *it.name != *name);
-        if self.named.len() == before {
+    /// Records that a router gave no useful answer. If too many candidates failed, the referring
+    /// routers may be queried again, after a backoff that grows with each failed referral.
+    pub(crate) fn record_failure(&mut self, name: &str, now: Millis) {
+        let before = self.candidates.len();
+        self.candidates.retain(|candidate| *candidate.name != *name);
+        if self.candidates.len() == before {
             return;
         }
-        self.vain += 1;
-        if self.vain < VAIN && !self.named.is_empty() {
+        self.failures += 1;
+        if self.failures < MAX_FAILURES && !self.candidates.is_empty() {
             return;
         }
-        let again = now + Millis(FURTHER.0 * self.rounds);
-        for until in self.full.values_mut() {
-            *until = again.min(*until);
+        let retry_at = now + Millis(BACKOFF_STEP.0 * self.failed_referrals);
+        for until in self.full_until.values_mut() {
+            *until = retry_at.min(*until);
         }
-        self.named.clear();
-        self.vain = 0;
-        self.rounds += 1;
+        self.candidates.clear();
+        self.failures = 0;
+        self.failed_referrals += 1;
     }
 }
--- a/components/fleet/src/roster.rs
+++ b/components/fleet/src/roster.rs
@@ -1,4 +1,4 @@
-//! Which routers there are.
+//! The known routers of a fleet.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -6,36 +6,35 @@
 use clock::Millis;
 use edge::{Announcement, Peer};
 
-/// How long a router is still counted that nobody names any more: its followers may have
-/// ended, and it needs that long to be named by others.
-const LINGERS: Millis = Millis(5_000);
+/// How long a router stays known that no announcement lists any more: its source may have
+/// stopped, and its next one takes that long to list it.
+const LISTING_TTL: Millis = Millis(5_000);
 
-/// The routers of a fleet: those that announce themselves in the store, and those that these
-/// name since they hear from them.
+/// The routers that announce themselves in the store, and the subscribers that they list.
 #[derive(Debug, Default)]
 pub struct Roster {
-    /// By the name of the router that announced itself.
+    /// Announcements by the name of the announced router.
     announced: BTreeMap<Arc<str>, Announcement>,
-    /// All that were named lately, and when they were last.
-    named: BTreeMap<Arc<str>, (Peer, Millis)>,
+    /// Routers that were listed recently, and when they last were.
+    listed: BTreeMap<Arc<str>, (Peer, Millis)>,
 }
 
 impl Roster {
-    /// Takes a router's announcement.
+    /// Adds or replaces a router's announcement.
     pub fn insert(&mut self, announcement: Announcement) {
         self.announced.insert(announcement.router.name.clone(), announcement);
     }
 
-    /// Takes the end of a router's announcement: it has stopped, or its lease is over.
+    /// Removes a router whose announcement was withdrawn or has expired.
     pub fn remove(&mut self, name: &str) {
         self.announced.remove(name);
-        self.named.remove(name);
+        self.listed.remove(name);
     }
 
-    /// Takes a whole list: who is not in it no longer announces itself.
+    /// Removes all announcements but those of `names`.
     pub fn retain(&mut self, names: &BTreeSet<Arc<str>>) {
         let gone: Vec<_> =
-            self.announced.keys().filter(|it| !names.contains(*it)).cloned().collect();
+            self.announced.keys().filter(|name| !names.contains(*name)).cloned().collect();
         for name in gone {
             self.remove(&name);
         }
@@ -46,39 +45,42 @@
         self.announced.contains_key(name)
     }
 
-    /// Whether an announcement names a router.
+    /// Whether an announcement lists a router.
     pub fn is_listed(&self, name: &str) -> bool {
-        self.announced.values().any(|it| it.all().any(|peer| &*peer.name == name))
+        self.announced
+            .values()
+            .any(|announcement| announcement.all().any(|peer| &*peer.name == name))
     }
 
-    /// The routers that announce themselves: those that follow the store.
+    /// The routers that announce themselves, which are those that poll the store.
     pub fn pollers(&self) -> impl Iterator<Item = &Peer> {
-        self.announced.values().map(|it| &it.router)
+        self.announced.values().map(|announcement| &announcement.router)
     }
 
-    /// Notes at `now` who is named, so that they are known for a while after nobody names them.
+    /// Records the routers that are listed at `now`, and removes those that have not been for a
+    /// while.
     pub fn refresh(&mut self, now: Millis) {
         for announcement in self.announced.values() {
             for peer in announcement.all() {
-                self.named.insert(peer.name.clone(), (peer.clone(), now));
+                self.listed.insert(peer.name.clone(), (peer.clone(), now));
             }
         }
-        self.named.retain(|_, (_, at)| at.until(now) < LINGERS);
+        self.listed.retain(|_, (_, at)| at.until(now) < LISTING_TTL);
     }
 
     /// All routers that are known at `now`.
     pub fn routers(&mut self, now: Millis) -> impl Iterator<Item = &Peer> {
         self.refresh(now);
-        self.named.values().map(|(it, _)| it)
+        self.listed.values().map(|(peer, _)| peer)
     }
 
-    /// All routers that were known when this was noticed last.
+    /// All routers that were known at the last refresh.
     pub fn known(&self) -> impl Iterator<Item = &Peer> {
-        self.named.values().map(|(it, _)| it)
+        self.listed.values().map(|(peer, _)| peer)
     }
 
-    /// The most routers that any follower has counted.
+    /// The largest number of routers that any poller has counted.
     pub fn max_routers(&self) -> usize {
-        self.announced.values().map(|it| it.most).max().unwrap_or_default()
+        self.announced.values().map(|announcement| announcement.most).max().unwrap_or_default()
     }
 }
--- a/components/fleet/src/sources.rs
+++ b/components/fleet/src/sources.rs
@@ -1,4 +1,4 @@
-//! From whom a router learns what the store holds.
+//! Where a router reads the store's content from.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -8,364 +8,368 @@
 use placement::{key, score};
 
 use crate::Roster;
-use crate::home::Home;
+use crate::home::Locality;
 use crate::referrals::Referrals;
 
-/// How many routers of a fleet follow the store at least, so that the loss of one is made good
-/// by another: one of each failure domain, and two where there is only one domain.
-const FOLLOWERS: usize = 2;
+/// The pollers of a fleet with a single failure domain; each of several domains has one. The loss
+/// of one poller is covered by another.
+const SINGLE_DOMAIN_POLLERS: usize = 2;
 
-/// How long a router goes on following that began as those that follow told nothing new: what
-/// they announce is over by then if the store does not answer them.
-const STAYS: Millis = Millis(20_000);
+/// How long a router remains a poller that became one since no source had anything new. The
+/// announcements of the other pollers expire by then if the store does not answer them.
+const MIN_POLLER_TIME: Millis = Millis(20_000);
 
-/// How long the first in rank waits before it follows in place of one that is missing, and how
-/// much longer each further one does. The others know of it by then, however many they are: it
-/// announces itself at once, followers look each 1,100 ms, and a question waits no longer for
-/// news than 1,200 ms.
-const TURN: Millis = Millis(2_000);
+/// How long the first in rank waits before it replaces a missing poller, and how much longer each
+/// further router does. Long enough for the announcement of a new poller to reach all routers.
+const SUCCESSION_INTERVAL: Millis = Millis(2_000);
 
-/// How long a router waits that has nobody to ask.
-const IDLE: Millis = Millis(300);
+/// How long a router without any source waits.
+const IDLE_PAUSE: Millis = Millis(300);
 
-/// How long there must be too many followers until one stands down: both may have just begun.
-const SURPLUS: Millis = Millis(3_000);
+/// How long there must be too many pollers before one steps down: several may have just begun.
+const SURPLUS_TIMEOUT: Millis = Millis(3_000);
 
-/// How long a router is not asked again that did not answer.
-const FAILED: Millis = Millis(1_000);
+/// How long a router that did not answer is not queried again.
+const FAILURE_BACKOFF: Millis = Millis(1_000);
 
-/// How long one that did not answer counts as lost, unless it answers: its announcement is over
-/// by then.
-const LOST: Millis = Millis(20_000);
+/// How long a router that did not answer counts as failed, unless it answers. Its announcement
+/// has expired by then.
+const FAILURE_RETENTION: Millis = Millis(20_000);
 
-/// How long a router is not asked again that has just started and knows nothing.
-const STARTS: Millis = Millis(100);
+/// How long a router that has just started is not queried again.
+const STARTUP_BACKOFF: Millis = Millis(100);
 
-/// How long routers are asked last whose proof was old, the one first that was asked longest ago.
-const STALE: Millis = Millis(10_000);
+/// How long routers with a stale confirmation are queried last, the longest known first.
+const STALE_RETENTION: Millis = Millis(10_000);
 
-/// How long all may fail until a router looks at the store that does not follow it; each
-/// further one in rank waits [`PROBE`] longer, so that a domain asks about once a second
-/// however many routers it has.
-const PATIENCE: Millis = Millis(500);
+/// How long all sources may fail before a router that is no poller polls the store. Each further
+/// one in rank waits [`FALLBACK_INTERVAL`] longer, which limits the polls of a domain.
+const FALLBACK_DELAY: Millis = Millis(500);
 
-/// The time between the looks of a domain's routers at a store that answers nobody.
-const PROBE: Millis = Millis(1_000);
+/// The time between the polls of a domain's routers while the store does not answer.
+const FALLBACK_INTERVAL: Millis = Millis(1_000);
 
-/// How long a router that has just started leaves it to others to follow where anybody answers:
-/// until then it does not know who else might.
-const SETTLE: Millis = Millis(3_000);
+/// How long a started router does not become a poller while any other answers: it does not know
+/// all candidates yet.
+const STARTUP_TIME: Millis = Millis(3_000);
 
-/// How many of those that would follow next are asked where all followers are lost.
-const SUCCESSORS: usize = 3;
+/// How many routers that may become pollers are queried if all pollers have failed.
+const MAX_SUCCESSORS: usize = 3;
 
-/// What tells draws for followers apart from others.
-const DRAW: &str = "follower";
+/// Hash label of the rank in which routers become pollers.
+const RANK_LABEL: &str = "follower";
 
-/// Where to look next.
+/// Where to read from next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// At the store.
+    /// Poll the store.
     Store,
-    /// At what another router knows.
+    /// Query another router.
     Router(Peer),
-    /// Nowhere for a while.
+    /// Wait, as no source is available.
     Pause(Millis),
 }
 
-/// Whom a router may ask, and whether it follows the store by itself.
+/// Chooses the source of a router, and whether the router is a poller.
 #[derive(Debug)]
 pub struct Sources {
     own: Peer,
     started: Millis,
-    /// Whether this router follows the store and announces that.
-    follows: bool,
-    /// When routers last did not answer.
-    failed: BTreeMap<Arc<str>, Millis>,
-    /// Until when routers are not asked that answered that they can't tell.
-    unable: BTreeMap<Arc<str>, Millis>,
-    /// When the proof of routers was last found to be old.
-    stale: BTreeMap<Arc<str>, Millis>,
-    /// The routers that those name that have enough others to answer.
+    /// Whether this router polls the store and announces that.
+    is_poller: bool,
+    /// When routers last failed to answer.
+    failed_at: BTreeMap<Arc<str>, Millis>,
+    /// Until when routers that have just started are not queried.
+    starting_until: BTreeMap<Arc<str>, Millis>,
+    /// When the confirmations of routers were last found to be stale.
+    stale_at: BTreeMap<Arc<str>, Millis>,
     referrals: Referrals,
-    /// When the store may be asked again after it failed.
-    store_at: Millis,
-    /// Since when nobody has told anything new; `None` if somebody just has.
-    alone: Option<Millis>,
-    /// Since when this domain has had too few followers.
-    short: Option<Millis>,
+    /// When the store may be polled again after a failure.
+    store_retry_at: Millis,
+    /// Since when no source has had anything new.
+    isolated_since: Option<Millis>,
+    /// Since when this domain has had too few pollers.
+    shortage_since: Option<Millis>,
     /// Since when it has had too many.
-    surplus: Option<Millis>,
-    /// Until when this router follows in any case.
-    stays_until: Millis,
-    /// The routers that hear from this one, also by way of others.
-    hearers: BTreeSet<Arc<str>>,
-    home: Home,
+    surplus_since: Option<Millis>,
+    /// Until when this router remains a poller in any case.
+    poller_until: Millis,
+    /// The direct and indirect subscribers of this router.
+    subscribers: BTreeSet<Arc<str>>,
+    locality: Locality,
 }
 
 impl Sources {
-    /// A router that starts at `now` and has asked nobody yet.
+    /// Creates the state of a router that starts at `now`.
     pub fn new(own: Peer, now: Millis) -> Self {
         Self {
             own,
             started: now,
-            follows: false,
-            failed: BTreeMap::new(),
-            unable: BTreeMap::new(),
-            stale: BTreeMap::new(),
+            is_poller: false,
+            failed_at: BTreeMap::new(),
+            starting_until: BTreeMap::new(),
+            stale_at: BTreeMap::new(),
             referrals: Referrals::default(),
-            store_at: Millis::ZERO,
-            alone: None,
-            short: None,
-            surplus: None,
-            stays_until: Millis::ZERO,
-            hearers: BTreeSet::new(),
-            home: Home::default(),
+            store_retry_at: Millis::ZERO,
+            isolated_since: None,
+            shortage_since: None,
+            surplus_since: None,
+            poller_until: Millis::ZERO,
+            subscribers: BTreeSet::new(),
+            locality: Locality::default(),
         }
     }
 
-    /// Takes the names of the routers that hear from this one.
-    pub fn set_subscribers(&mut self, hearers: BTreeSet<Arc<str>>) {
-        self.hearers = hearers;
+    /// Sets the names of the direct and indirect subscribers.
+    pub fn set_subscribers(&mut self, subscribers: BTreeSet<Arc<str>>) {
+        self.subscribers = subscribers;
     }
 
-    /// Whether this router follows the store by itself.
+    /// Whether this router polls the store regularly.
     pub fn is_poller(&self) -> bool {
-        self.follows
+        self.is_poller
     }
 
-    /// Has this router follow the store from now on.
+    /// Makes this router a poller.
     pub fn become_poller(&mut self) {
-        self.follows = true;
-        self.short = None;
-        self.surplus = None;
+        self.is_poller = true;
+        self.shortage_since = None;
+        self.surplus_since = None;
     }
 
-    /// Decides whether this router follows the store, by who is known. Returns whether that has
+    /// Decides by the known routers whether this one is a poller. Returns whether that has
     /// changed.
     pub fn update_role(&mut self, roster: &mut Roster, now: Millis) -> bool {
         roster.refresh(now);
-        let (followers, wanted) = (self.followers_here(roster, now), self.wanted(roster, now));
-        let due = if self.follows {
-            self.is_surplus(&followers, wanted, now)
+        let (pollers, wanted) = (self.local_pollers(roster, now), self.wanted(roster, now));
+        let due = if self.is_poller {
+            self.is_surplus(&pollers, wanted, now)
         } else {
-            self.is_due(&followers, wanted, roster, now)
+            self.is_due(&pollers, wanted, roster, now)
         };
         if due {
-            self.follows = !self.follows;
-            self.short = None;
-            self.surplus = None;
+            self.is_poller = !self.is_poller;
+            self.shortage_since = None;
+            self.surplus_since = None;
         }
         due
     }
 
-    /// How many routers of this domain are to follow the store.
+    /// How many pollers this domain needs.
     fn wanted(&self, roster: &Roster, now: Millis) -> usize {
-        let elsewhere = |it: &Peer| {
-            it.domain != self.own.domain && !it.domain.is_empty() && !self.is_failed(&it.name, now)
+        let is_remote = |peer: &Peer| {
+            peer.domain != self.own.domain
+                && !peer.domain.is_empty()
+                && !self.is_failed(&peer.name, now)
         };
-        if roster.pollers().any(elsewhere) { 1 } else { FOLLOWERS }
+        if roster.pollers().any(is_remote) { 1 } else { SINGLE_DOMAIN_POLLERS }
     }
 
-    /// The other routers of this domain that follow the store, as far as this one can ask them.
-    fn followers_here(&self, roster: &Roster, now: Millis) -> Vec<Peer> {
-        let answers = |it: &&Peer| !self.is_failed(&it.name, now) && it.hints.is_some();
-        let here = |it: &&Peer| it.domain == self.own.domain && it.name != self.own.name;
-        roster.pollers().filter(here).filter(answers).cloned().collect()
+    /// The other pollers of this domain that this router can query.
+    fn local_pollers(&self, roster: &Roster, now: Millis) -> Vec<Peer> {
+        let is_reachable = |peer: &&Peer| !self.is_failed(&peer.name, now) && peer.hints.is_some();
+        let is_local = |peer: &&Peer| peer.domain == self.own.domain && peer.name != self.own.name;
+        roster.pollers().filter(is_local).filter(is_reachable).cloned().collect()
     }
 
-    /// Whether there have been too many followers for a while, of which this one is the last.
-    fn is_surplus(&mut self, followers: &[Peer], wanted: usize, now: Millis) -> bool {
+    /// Whether there have been too many pollers for a while, with this one last in rank.
+    fn is_surplus(&mut self, pollers: &[Peer], wanted: usize, now: Millis) -> bool {
         let own = rank(&self.own);
-        let before = followers.iter().filter(|it| rank(it) < own).count();
-        if before < wanted || now < self.stays_until {
-            self.surplus = None;
+        let before = pollers.iter().filter(|poller| rank(poller) < own).count();
+        if before < wanted || now < self.poller_until {
+            self.surplus_since = None;
             return false;
         }
-        self.surplus.get_or_insert(now).until(now) >= SURPLUS
+        self.surplus_since.get_or_insert(now).until(now) >= SURPLUS_TIMEOUT
     }
 
-    /// Whether there are too few followers, and it is this router's turn to become one.
+    /// Whether there are too few pollers, and this router is the next in rank.
     fn is_due(
         &mut self,
-        followers: &[Peer],
+        pollers: &[Peer],
         wanted: usize,
         roster: &mut Roster,
         now: Millis,
     ) -> bool {
-        if followers.len() >= wanted {
-            self.short = None;
+        if pollers.len() >= wanted {
+            self.shortage_since = None;
             return false;
         }
-        if self.started.until(now) < SETTLE && self.others_answer(roster, now) {
-            self.short = None;
+        if self.started.until(now) < STARTUP_TIME && self.has_reachable_poller(roster, now) {
+            self.shortage_since = None;
             return false;
         }
-        let since = *self.short.get_or_insert(now);
+        let since = *self.shortage_since.get_or_insert(now);
         let own = rank(&self.own);
-        let is_before = |it: &Peer| {
-            it.domain == self.own.domain
-                && it.name != self.own.name
-                && !followers.iter().any(|follower| follower.name == it.name)
-                && !self.is_failed(&it.name, now)
-                && rank(it) < own
+        let is_before = |peer: &Peer| {
+            peer.domain == self.own.domain
+                && peer.name != self.own.name
+                && !pollers.iter().any(|poller| poller.name == peer.name)
+                && !self.is_failed(&peer.name, now)
+                && rank(peer) < own
         };
-        let before = roster.routers(now).filter(|it| is_before(it)).count();
-        // As many as are missing follow at once.
-        let turn = before / (wanted - followers.len());
-        since.until(now).0 >= TURN.0 * (turn as u64 + 1)
+        let before = roster.routers(now).filter(|peer| is_before(peer)).count();
+        // All missing pollers are replaced at the same time.
+        let turn = before / (wanted - pollers.len());
+        since.until(now).0 >= SUCCESSION_INTERVAL.0 * (turn as u64 + 1)
     }
 
-    /// Whether any other router may be asked, now or soon.
-    fn others_answer(&self, roster: &Roster, now: Millis) -> bool {
-        let answers = |it: &Peer| {
-            it.name != self.own.name && it.hints.is_some() && !self.is_failed(&it.name, now)
+    /// Whether any other poller may be queried, now or soon.
+    fn has_reachable_poller(&self, roster: &Roster, now: Millis) -> bool {
+        let is_reachable = |peer: &Peer| {
+            peer.name != self.own.name && peer.hints.is_some() && !self.is_failed(&peer.name, now)
         };
-        roster.pollers().any(answers)
+        roster.pollers().any(is_reachable)
     }
 
-    /// Where to look at `now`.
+    /// The source to read from at `now`.
     pub fn next(&mut self, roster: &mut Roster, now: Millis) -> Source {
-        let store_answers = self.store_at <= now;
-        if self.follows && store_answers {
+        let store_available = self.store_retry_at <= now;
+        if self.is_poller && store_available {
             return Source::Store;
         }
-        let alone = *self.alone.get_or_insert(now);
-        if store_answers && alone.until(now) >= self.patience(roster, now) {
+        let since = *self.isolated_since.get_or_insert(now);
+        if store_available && since.until(now) >= self.fallback_delay(roster, now) {
             return Source::Store;
         }
-        self.forget(now);
-        self.home.notice(&self.own, roster, now);
+        self.expire(now);
+        self.locality.refresh(&self.own, roster, now);
         match self.candidates(roster, now).into_iter().next() {
             Some(peer) => Source::Router(peer),
-            None => Source::Pause(IDLE),
+            None => Source::Pause(IDLE_PAUSE),
         }
     }
 
-    /// Forgets what no longer counts.
-    fn forget(&mut self, now: Millis) {
-        self.failed.retain(|_, at| at.until(now) < LOST);
-        self.unable.retain(|_, until| *until > now);
-        self.referrals.forget(now);
-        self.stale.retain(|_, at| at.until(now) < STALE);
+    /// Removes outdated records.
+    fn expire(&mut self, now: Millis) {
+        self.failed_at.retain(|_, at| at.until(now) < FAILURE_RETENTION);
+        self.starting_until.retain(|_, until| *until > now);
+        self.referrals.expire(now);
+        self.stale_at.retain(|_, at| at.until(now) < STALE_RETENTION);
     }
 
-    /// The routers that may be asked, which name their domains, as earlier versions do not: those
-    /// of its domain, all others; each group first as far as this one was referred to it, then by
-    /// rank, which differs from router to router. Those whose proofs were old come later, and last
-    /// those that hear from this one.
+    /// The routers that may be queried, in order: those of the own domain, then all others; within
+    /// each group those of the latest referral, then pollers in a random order of this router.
+    /// Routers with stale confirmations come later, subscribers of this router last. Routers of
+    /// earlier versions, which name no domain, are left out.
     fn candidates(&self, roster: &Roster, now: Millis) -> Vec<Peer> {
-        let rests = |it: &Peer| self.failed.get(&it.name).is_some_and(|at| at.until(now) < FAILED);
-        let may_be_asked = |it: &&Peer| {
-            it.name != self.own.name
-                && it.hints.is_some()
-                && !it.domain.is_empty()
-                && !rests(it)
-                && !self.unable.contains_key(&it.name)
-                && !self.referrals.is_full(&it.name)
+        let is_backing_off = |peer: &Peer| {
+            self.failed_at.get(&peer.name).is_some_and(|at| at.until(now) < FAILURE_BACKOFF)
+        };
+        let is_candidate = |peer: &&Peer| {
+            peer.name != self.own.name
+                && peer.hints.is_some()
+                && !peer.domain.is_empty()
+                && !is_backing_off(peer)
+                && !self.starting_until.contains_key(&peer.name)
+                && !self.referrals.is_full(&peer.name)
+        };
+        let seed = key(RANK_LABEL, &self.own.name);
+        let weight = |peer: &Peer| score(seed, &peer.name, 1.0);
+        let mut pollers: Vec<_> = roster.pollers().filter(is_candidate).cloned().collect();
+        pollers.sort_by(|one, other| weight(other).total_cmp(&weight(one)));
+        let mut candidates: Vec<_> =
+            self.referrals.candidates().filter(is_candidate).cloned().collect();
+        candidates.extend(pollers);
+        candidates.sort_by_key(|peer| self.locality.distance(&self.own, peer, roster, now));
+        // If all pollers have failed, their successors may not have announced themselves yet.
+        candidates.extend(self.successors(roster).into_iter().filter(|peer| is_candidate(&peer)));
+        let last = |peer: &Peer| {
+            (self.subscribers.contains(&peer.name), self.stale_at.get(&peer.name).copied())
         };
-        let draw = key(DRAW, &self.own.name);
-        let drawn = |it: &Peer| score(draw, &it.name, 1.0);
-        let mut followers: Vec<_> = roster.pollers().filter(may_be_asked).cloned().collect();
-        followers.sort_by(|one, other| drawn(other).total_cmp(&drawn(one)));
-        let mut candidates: Vec<_> = self.referrals.named().filter(may_be_asked).cloned().collect();
-        candidates.extend(followers);
-        candidates.sort_by_key(|it| self.home.distance(&self.own, it, roster, now));
-        // Where all followers are lost, those follow next whom nobody has announced yet.
-        candidates.extend(self.successors(roster).into_iter().filter(|it| may_be_asked(&it)));
-        let last = |it: &Peer| (self.hearers.contains(&it.name), self.stale.get(&it.name).copied());
         candidates.sort_by_key(last);
         candidates
     }
 
-    /// The routers of this domain that are the first to follow where others are lost.
+    /// The routers of this domain that are next in rank to become pollers.
     fn successors(&self, roster: &Roster) -> Vec<Peer> {
-        let may_follow =
-            |it: &&Peer| it.domain == self.own.domain && !roster.is_announced(&it.name);
-        let mut successors: Vec<_> = roster.known().filter(may_follow).cloned().collect();
+        let may_succeed =
+            |peer: &&Peer| peer.domain == self.own.domain && !roster.is_announced(&peer.name);
+        let mut successors: Vec<_> = roster.known().filter(may_succeed).cloned().collect();
         successors.sort_by_key(rank);
-        successors.truncate(SUCCESSORS);
+        successors.truncate(MAX_SUCCESSORS);
         successors
     }
 
-    /// How long nobody may tell anything until this router looks at the store.
-    fn patience(&self, roster: &mut Roster, now: Millis) -> Millis {
+    /// How long this router must have had no source before it polls the store.
+    fn fallback_delay(&self, roster: &mut Roster, now: Millis) -> Millis {
         let own = rank(&self.own);
-        let is_before = |it: &Peer| it.domain == self.own.domain && rank(it) < own;
-        let before = roster.routers(now).filter(|it| is_before(it)).count();
-        PATIENCE + Millis(PROBE.0 * before as u64)
+        let is_before = |peer: &Peer| peer.domain == self.own.domain && rank(peer) < own;
+        let before = roster.routers(now).filter(|peer| is_before(peer)).count();
+        FALLBACK_DELAY + Millis(FALLBACK_INTERVAL.0 * before as u64)
     }
 
-    /// Whether a router has not answered lately.
+    /// Whether a router has recently failed to answer.
     fn is_failed(&self, name: &str, now: Millis) -> bool {
-        self.failed.get(name).is_some_and(|at| at.until(now) < LOST)
+        self.failed_at.get(name).is_some_and(|at| at.until(now) < FAILURE_RETENTION)
     }
 
-    /// A router told something that is new enough.
+    /// Records an answer with a recent enough confirmation.
     pub fn record_success(&mut self, name: &str) {
-        self.alone = None;
-        self.home.hears(name);
-        self.referrals.served();
-        self.failed.remove(name);
-        self.stale.remove(name);
+        self.isolated_since = None;
+        self.locality.set_source(name);
+        self.referrals.record_success();
+        self.failed_at.remove(name);
+        self.stale_at.remove(name);
     }
 
-    /// The store answered. A router that does not follow it has asked since nobody told it
-    /// anything new, and follows from now on. Returns whether it has just begun to.
+    /// Records an answer of the store. A router that polled it for lack of a source becomes a
+    /// poller; returns whether it has.
     pub fn record_store_success(&mut self, now: Millis) -> bool {
-        self.store_at = Millis::ZERO;
-        self.alone = None;
-        self.home.looks();
-        let begins = !self.follows;
+        self.store_retry_at = Millis::ZERO;
+        self.isolated_since = None;
+        self.locality.clear_source();
+        let begins = !self.is_poller;
         if begins {
             self.become_poller();
-            self.stays_until = now + STAYS;
+            self.poller_until = now + MIN_POLLER_TIME;
         }
         begins
     }
 
-    /// The store did not answer; it may be asked again after `pause`. A router that does not
-    /// follow it waits until the others of its domain have asked in their turn.
+    /// Records that the store did not answer, and blocks polls for `pause`, or longer if this
+    /// router is no poller, so that the others of its domain poll in turn.
     pub fn record_store_failure(&mut self, pause: Millis, roster: &mut Roster, now: Millis) {
-        let here = |it: &Peer| it.domain == self.own.domain;
-        let domain = roster.routers(now).filter(|it| here(it)).count();
-        let turns = if self.follows { Millis::ZERO } else { Millis(PROBE.0 * domain as u64) };
-        self.store_at = now + pause.max(turns);
+        let is_local = |peer: &Peer| peer.domain == self.own.domain;
+        let count = roster.routers(now).filter(|peer| is_local(peer)).count();
+        let turns =
+            if self.is_poller { Millis::ZERO } else { Millis(FALLBACK_INTERVAL.0 * count as u64) };
+        self.store_retry_at = now + pause.max(turns);
     }
 
-    /// A router did not answer.
+    /// Records that a router did not answer.
     pub fn record_failure(&mut self, name: &Arc<str>, now: Millis) {
-        self.failed.insert(name.clone(), now);
-        self.home.leaves(name);
-        self.referrals.leave(name, now);
+        self.failed_at.insert(name.clone(), now);
+        self.locality.remove_source(name);
+        self.referrals.record_failure(name, now);
     }
 
-    /// A router answered, but what it knows is old.
+    /// Records an answer with a stale confirmation.
     pub fn record_stale(&mut self, name: &Arc<str>, now: Millis) {
-        self.failed.remove(name);
-        self.stale.insert(name.clone(), now);
-        self.home.leaves(name);
-        self.referrals.leave(name, now);
+        self.failed_at.remove(name);
+        self.stale_at.insert(name.clone(), now);
+        self.locality.remove_source(name);
+        self.referrals.record_failure(name, now);
     }
 
-    /// A router can't tell, and names `others` that may be asked. Where it names none it has just
-    /// started, and soon can.
+    /// Records that a router has referred this one to `others`. Without any, it has just started
+    /// and is queried again soon.
     pub fn record_referral(&mut self, name: &Arc<str>, mut others: Vec<Peer>, now: Millis) {
-        self.failed.remove(name);
-        self.home.leaves(name);
+        self.failed_at.remove(name);
+        self.locality.remove_source(name);
         if others.is_empty() {
-            self.unable.insert(name.clone(), now + STARTS);
-            return self.referrals.leave(name, now);
+            self.starting_until.insert(name.clone(), now + STARTUP_BACKOFF);
+            return self.referrals.record_failure(name, now);
         }
-        let draw = key(DRAW, &self.own.name);
-        let drawn = |it: &Peer| score(draw, &it.name, 1.0);
-        others.sort_by(|one, other| drawn(other).total_cmp(&drawn(one)));
-        others.sort_by_key(|it| self.failed.contains_key(&it.name));
-        self.referrals.take(name, others, now);
+        let seed = key(RANK_LABEL, &self.own.name);
+        let weight = |peer: &Peer| score(seed, &peer.name, 1.0);
+        others.sort_by(|one, other| weight(other).total_cmp(&weight(one)));
+        others.sort_by_key(|peer| self.failed_at.contains_key(&peer.name));
+        self.referrals.record(name, others, now);
     }
 }
 
-/// Who follows first: those with more to spare, then by a draw that is the same at all.
+/// The order in which routers become pollers, the same at all: by strength, then by hash.
 fn rank(peer: &Peer) -> (std::cmp::Reverse<u32>, u64) {
-    (std::cmp::Reverse(peer.strength), key(DRAW, &peer.name))
+    (std::cmp::Reverse(peer.strength), key(RANK_LABEL, &peer.name))
 }
--- a/components/fleet/tests/answers.rs
+++ b/components/fleet/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Answers that several routers get are made once.
+//! Equal answers are made only once.
 
 use bytes::Bytes;
 use clock::Millis;
@@ -11,10 +11,10 @@
     Revision { number, ..NOW }
 }
 
-/// Answers questions of routers that know `after` at `now`; returns how many answers were made.
-fn answer(answers: &mut AnswerCache, questions: &[Option<Revision>], now: Millis) -> usize {
+/// Answers queries for the changes after each of `queries`; returns how many answers were made.
+fn answer(answers: &mut AnswerCache, queries: &[Option<Revision>], now: Millis) -> usize {
     let mut made = 0;
-    for after in questions {
+    for after in queries {
         if answers.get(*after, NOW, now).is_none() {
             made += 1;
             answers.insert(*after, NOW, Bytes::from_static(b"facts"), now);
@@ -24,16 +24,16 @@
 }
 
 #[test]
-fn routers_that_know_different_revisions_are_answered_from_what_was_made_before() {
+fn reuses_answers_for_several_revisions() {
     let mut answers = AnswerCache::default();
-    let questions =
-        [None, Some(80), Some(85), None, Some(80), None, Some(85), None].map(|it| it.map(at));
-    assert_eq!(answer(&mut answers, &questions, Millis(1)), 3);
-    assert_eq!(answer(&mut answers, &questions, Millis(400)), 0);
+    let queries = [None, Some(80), Some(85), None, Some(80), None, Some(85), None]
+        .map(|number| number.map(at));
+    assert_eq!(answer(&mut answers, &queries, Millis(1)), 3);
+    assert_eq!(answer(&mut answers, &queries, Millis(400)), 0);
 }
 
 #[test]
-fn an_answer_ends_with_its_revision_and_after_a_while() {
+fn drops_answers_after_a_while_and_with_a_new_revision() {
     let mut answers = AnswerCache::default();
     assert_eq!(answer(&mut answers, &[None, None], Millis(1)), 1);
     assert_eq!(answer(&mut answers, &[None, None], Millis(600)), 1);
@@ -43,9 +43,9 @@
 }
 
 #[test]
-fn few_answers_are_kept_however_many_revisions_are_asked_for() {
+fn keeps_few_answers_for_any_number_of_revisions() {
     let mut answers = AnswerCache::default();
-    let questions: Vec<_> = (0..1_000).map(|it| Some(at(it))).collect();
-    answer(&mut answers, &questions, Millis(1));
+    let queries: Vec<_> = (0..1_000).map(|number| Some(at(number))).collect();
+    answer(&mut answers, &queries, Millis(1));
     assert!(answers.bytes() <= 4 * b"facts".len(), "{} bytes", answers.bytes());
 }
--- a/components/fleet/tests/freshness.rs
+++ b/components/fleet/tests/freshness.rs
@@ -1,48 +1,48 @@
-//! Whoever hears of the store from others must do so in time.
+//! Sources are replaced before the last confirmation expires.
 
 use clock::Millis;
 use fleet::{ANSWER_TIMEOUT, Freshness};
 
-/// How long an answer of another router takes that has newer news.
-const ANSWER: Millis = Millis(300);
+/// Time for another router to answer with changes.
+const ANSWER_TIME: Millis = Millis(300);
 
-/// How old a proof can be of a router that looks at the store, where that answers slowly.
-const LOOKS: Millis = Millis(1_400);
+/// The oldest confirmation of a poller whose store answers slowly.
+const SLOW_POLL_AGE: Millis = Millis(1_400);
 
 #[test]
-fn a_router_that_falls_silent_is_left_in_time_to_ask_another() {
-    for lasts in [1_900, 2_900, 3_900] {
-        let freshness = Freshness::new(Millis(lasts));
-        for age in 0..lasts - ANSWER_TIMEOUT.0 - ANSWER.0 - ANSWER.0 {
+fn leaves_time_to_replace_a_source_that_stops_answering() {
+    for validity in [1_900, 2_900, 3_900] {
+        let freshness = Freshness::new(Millis(validity));
+        for age in 0..validity - ANSWER_TIMEOUT.0 - ANSWER_TIME.0 - ANSWER_TIME.0 {
             let wait = freshness.wait(Some(Millis(age)), None);
-            assert!(wait >= ANSWER, "{wait} at {age}");
-            let left = Millis(age) + wait + ANSWER_TIMEOUT + ANSWER;
-            assert!(left.0 <= lasts, "{left} at {age} of {lasts}");
+            assert!(wait >= ANSWER_TIME, "{wait} at {age}");
+            let replaced = Millis(age) + wait + ANSWER_TIMEOUT + ANSWER_TIME;
+            assert!(replaced.0 <= validity, "{replaced} at {age} of {validity}");
         }
     }
 }
 
 #[test]
-fn a_router_whose_own_news_are_old_is_left_in_time_to_ask_another() {
-    for lasts in [1_900, 2_900, 3_900] {
-        let freshness = Freshness::new(Millis(lasts));
-        let oldest = (0..lasts).rev().find(|it| !freshness.is_stale(Some(Millis(*it))));
-        let oldest = Millis(oldest.expect("some age is not old"));
-        assert!(oldest >= LOOKS, "{oldest} of {lasts}");
-        assert!((oldest + ANSWER).0 <= lasts, "{oldest} of {lasts}");
+fn leaves_time_to_replace_a_source_with_a_stale_confirmation() {
+    for validity in [1_900, 2_900, 3_900] {
+        let freshness = Freshness::new(Millis(validity));
+        let oldest = (0..validity).rev().find(|age| !freshness.is_stale(Some(Millis(*age))));
+        let oldest = Millis(oldest.expect("some age is not stale"));
+        assert!(oldest >= SLOW_POLL_AGE, "{oldest} of {validity}");
+        assert!((oldest + ANSWER_TIME).0 <= validity, "{oldest} of {validity}");
     }
     assert!(Freshness::new(Millis(1_900)).is_stale(None));
 }
 
 #[test]
-fn where_little_time_is_allowed_nobody_is_left_who_looks_as_often_as_it_may() {
+fn keeps_a_regular_poller_as_source_however_short_the_validity() {
     let freshness = Freshness::new(Millis(900));
-    assert!(!freshness.is_stale(Some(LOOKS - Millis(1))));
-    assert_eq!(freshness.wait(Some(Millis(500)), None), ANSWER);
+    assert!(!freshness.is_stale(Some(SLOW_POLL_AGE - Millis(1))));
+    assert_eq!(freshness.wait(Some(Millis(500)), None), ANSWER_TIME);
 }
 
 #[test]
-fn no_question_waits_beyond_what_is_due() {
+fn queries_wait_no_longer_than_the_next_deadline() {
     let freshness = Freshness::new(Millis(1_900));
     assert_eq!(freshness.wait(Some(Millis(100)), Some(Millis(250))), Millis(250));
     assert_eq!(freshness.wait(Some(Millis(100)), Some(Millis(9_000))), Millis(1_100));
@@ -50,13 +50,12 @@
 }
 
 #[test]
-fn what_is_missing_after_a_short_gap_is_let_go_of_sooner_than_after_an_outage() {
+fn grace_periods_are_shorter_after_a_short_gap_than_after_an_outage() {
     let (freshness, now) = (Freshness::new(Millis(1_900)), Millis(10_000));
-    // It was there when the store was heard of last.
     assert_eq!(freshness.grace_start(Some(Millis(550)), now), Millis(9_450));
-    // Those that live have time to write once.
+    // The reduction is limited, so that each upstream can write its entry once.
     assert_eq!(freshness.grace_start(Some(Millis(1_800)), now), Millis(9_300));
-    // In an outage entries lapse.
+    // Entries expire in an outage.
     assert_eq!(freshness.grace_start(Some(Millis(1_900)), now), now);
     assert_eq!(freshness.grace_start(None, now), now);
 }
--- a/components/fleet/tests/gossip.rs
+++ b/components/fleet/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! Hints reach each router of a fleet once, by few datagrams.
+//! Hints reach each router of a fleet once, in few datagrams.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,10 +13,10 @@
     Peer { name: name.into(), hints: None, domain: "".into(), strength: 0 }
 }
 
-/// A hint of its own for each router.
+/// A hint that identifies router `name`.
 fn hint(name: &str) -> Frame {
-    let told = Observation { upstream: name.into(), requests: 1, waiting: 0, age_ms: 10 };
-    Frame::Observations(Observations { current: true, upstreams: vec![told] })
+    let observation = Observation { upstream: name.into(), requests: 1, waiting: 0, age_ms: 10 };
+    Frame::Observations(Observations { current: true, upstreams: vec![observation] })
 }
 
 fn frames(datagram: &Bytes) -> Vec<Frame> {
@@ -27,7 +27,7 @@
     frames
 }
 
-/// How many routers have passed a datagram's hints on, and these.
+/// The hop count and the hints of a datagram.
 fn hints(datagram: &Bytes) -> (u32, Vec<Frame>) {
     let mut frames = frames(datagram);
     let Frame::Forwarded(hops) = frames.remove(0) else { panic!("no head") };
@@ -36,54 +36,57 @@
 
 struct Router {
     neighbours: Neighbours,
-    spread: Gossip,
-    heard: BTreeMap<Arc<str>, usize>,
+    gossip: Gossip,
+    /// How often each hint arrived.
+    received: BTreeMap<Arc<str>, usize>,
 }
 
-/// A fleet of domains in which two routers follow the store, `direct` others hear from each of
-/// them, and one more from each of these.
+/// A fleet in which each domain has two pollers, each poller `direct` subscribers, and each of
+/// these one more.
 fn fleet(domains: usize, direct: usize) -> BTreeMap<Arc<str>, Router> {
-    let mut ways: BTreeMap<Arc<str>, Neighbours> = BTreeMap::new();
-    let followers: Vec<String> =
-        (0..domains).flat_map(|domain| [0, 1].map(|it| format!("f-{domain}-{it}"))).collect();
-    for follower in &followers {
-        let others = followers.iter().filter(|it| *it != follower).map(|it| peer(it)).collect();
-        ways.entry(follower.as_str().into()).or_default().pollers = others;
+    let mut neighbours: BTreeMap<Arc<str>, Neighbours> = BTreeMap::new();
+    let pollers: Vec<String> = (0..domains)
+        .flat_map(|domain| [0, 1].map(|number| format!("f-{domain}-{number}")))
+        .collect();
+    for poller in &pollers {
+        let others =
+            pollers.iter().filter(|other| *other != poller).map(|other| peer(other)).collect();
+        neighbours.entry(poller.as_str().into()).or_default().pollers = others;
         for number in 0..direct {
-            let (near, far) = (format!("{follower}-n{number}"), format!("{follower}-f{number}"));
-            ways.entry(near.as_str().into()).or_default().source = Some(peer(follower));
-            ways.entry(far.as_str().into()).or_default().source = Some(peer(&near));
-            ways.entry(follower.as_str().into()).or_default().subscribers.push(peer(&near));
-            ways.entry(near.as_str().into()).or_default().subscribers.push(peer(&far));
+            let (near, far) = (format!("{poller}-n{number}"), format!("{poller}-f{number}"));
+            neighbours.entry(near.as_str().into()).or_default().source = Some(peer(poller));
+            neighbours.entry(far.as_str().into()).or_default().source = Some(peer(&near));
+            neighbours.entry(poller.as_str().into()).or_default().subscribers.push(peer(&near));
+            neighbours.entry(near.as_str().into()).or_default().subscribers.push(peer(&far));
         }
     }
     let router =
-        |neighbours| Router { neighbours, spread: Gossip::default(), heard: BTreeMap::new() };
-    ways.into_iter().map(|(name, it)| (name, router(it))).collect()
+        |neighbours| Router { neighbours, gossip: Gossip::default(), received: BTreeMap::new() };
+    neighbours.into_iter().map(|(name, neighbours)| (name, router(neighbours))).collect()
 }
 
-/// Lets all routers tell what they have until nobody has anything; returns the datagrams that
-/// each sent.
-fn settle(fleet: &mut BTreeMap<Arc<str>, Router>) -> BTreeMap<Arc<str>, usize> {
+/// Delivers datagrams until no hint waits; returns how many each router sent.
+fn deliver_all(fleet: &mut BTreeMap<Arc<str>, Router>) -> BTreeMap<Arc<str>, usize> {
     let mut sent = BTreeMap::new();
     loop {
-        let mut under_way = Vec::new();
+        let mut in_flight = Vec::new();
         for (name, router) in fleet.iter_mut() {
-            let datagrams = router.spread.flush(&router.neighbours, Millis(50));
+            let datagrams = router.gossip.flush(&router.neighbours, Millis(50));
             *sent.entry(name.clone()).or_default() += datagrams.len();
-            under_way.extend(datagrams.into_iter().map(|it| (name.clone(), it)));
+            in_flight.extend(datagrams.into_iter().map(|datagram| (name.clone(), datagram)));
         }
-        if under_way.is_empty() {
+        if in_flight.is_empty() {
             return sent;
         }
-        for (from, (to, datagram)) in under_way {
+        for (from, (to, datagram)) in in_flight {
             let router = fleet.get_mut(&to.name).expect("a router");
             let origin = router.neighbours.origin(&from);
             let (hops, hints) = hints(&datagram);
             for frame in hints {
-                let Frame::Observations(heard) = &frame else { panic!("{frame:?}") };
-                *router.heard.entry(heard.upstreams[0].upstream.clone()).or_default() += 1;
-                router.spread.push(origin.clone(), frame, hops + 1, Millis::ZERO);
+                let Frame::Observations(observations) = &frame else { panic!("{frame:?}") };
+                *router.received.entry(observations.upstreams[0].upstream.clone()).or_default() +=
+                    1;
+                router.gossip.push(origin.clone(), frame, hops + 1, Millis::ZERO);
             }
         }
     }
@@ -93,27 +96,27 @@
 fn each_hint_reaches_each_other_router_once() {
     let mut fleet = fleet(3, 6);
     for (name, router) in &mut fleet {
-        router.spread.push(Origin::Own, hint(name), 0, Millis::ZERO);
+        router.gossip.push(Origin::Own, hint(name), 0, Millis::ZERO);
     }
-    settle(&mut fleet);
+    deliver_all(&mut fleet);
     let names: Vec<_> = fleet.keys().cloned().collect();
     for (name, router) in &fleet {
         let expected: BTreeMap<_, _> =
-            names.iter().filter(|it| *it != name).map(|it| (it.clone(), 1)).collect();
-        assert_eq!(router.heard, expected, "{name}");
+            names.iter().filter(|other| *other != name).map(|other| (other.clone(), 1)).collect();
+        assert_eq!(router.received, expected, "{name}");
     }
 }
 
 #[test]
-fn datagrams_grow_with_neighbours_and_not_with_the_fleet() {
+fn each_router_sends_one_set_of_datagrams_to_each_neighbour() {
     for (domains, direct) in [(2, 6), (5, 18)] {
         let mut fleet = fleet(domains, direct);
         let size = fleet.len();
         for (name, router) in &mut fleet {
-            router.spread.push(Origin::Own, hint(name), 0, Millis::ZERO);
+            router.gossip.push(Origin::Own, hint(name), 0, Millis::ZERO);
         }
-        let sent = settle(&mut fleet);
-        // What all know takes so many datagrams; each router hands them on to its neighbours.
+        let sent = deliver_all(&mut fleet);
+        // The datagrams that hold all hints.
         let full = size * 40 / 1_200 + 6;
         for (name, router) in &fleet {
             let neighbours = router.neighbours.subscribers.len()
@@ -126,29 +129,29 @@
 
 #[test]
 fn ages_grow_while_hints_wait() {
-    let mut spread = Gossip::default();
-    spread.push(Origin::Own, hint("i-1"), 0, Millis(100));
+    let mut gossip = Gossip::default();
+    gossip.push(Origin::Own, hint("i-1"), 0, Millis(100));
     let neighbours = Neighbours { source: Some(peer("f")), ..Neighbours::default() };
-    let datagrams = spread.flush(&neighbours, Millis(145));
-    let Frame::Observations(heard) = &hints(&datagrams[0].1).1[0] else { panic!("a hint") };
-    assert_eq!(heard.upstreams[0].age_ms, 55);
+    let datagrams = gossip.flush(&neighbours, Millis(145));
+    let Frame::Observations(observations) = &hints(&datagrams[0].1).1[0] else { panic!("a hint") };
+    assert_eq!(observations.upstreams[0].age_ms, 55);
 }
 
 #[test]
-fn the_oldest_hints_are_given_up_where_too_many_wait() {
-    let mut spread = Gossip::default();
+fn drops_the_oldest_hints_beyond_the_limit() {
+    let mut gossip = Gossip::default();
     for number in 0..3_000 {
-        spread.push(Origin::Own, hint(&format!("i-{number}")), 0, Millis::ZERO);
+        gossip.push(Origin::Own, hint(&format!("i-{number}")), 0, Millis::ZERO);
     }
     let neighbours = Neighbours { source: Some(peer("f")), ..Neighbours::default() };
-    let datagrams = spread.flush(&neighbours, Millis::ZERO);
-    let told: Vec<_> = datagrams.iter().flat_map(|it| hints(&it.1).1).collect();
-    assert_eq!(told.len(), 1_024);
-    assert_eq!(told.last(), Some(&hint("i-2999")));
+    let datagrams = gossip.flush(&neighbours, Millis::ZERO);
+    let sent: Vec<_> = datagrams.iter().flat_map(|datagram| hints(&datagram.1).1).collect();
+    assert_eq!(sent.len(), 1_024);
+    assert_eq!(sent.last(), Some(&hint("i-2999")));
 }
 
 #[test]
-fn routers_that_hear_from_each_other_in_a_circle_do_not_pass_hints_on_for_ever() {
+fn forwarding_ends_between_routers_in_a_cycle() {
     let names = ["a", "b", "c"];
     let router = |number: usize| Router {
         neighbours: Neighbours {
@@ -156,13 +159,13 @@
             subscribers: vec![peer(names[(number + 2) % 3])],
             pollers: Vec::new(),
         },
-        spread: Gossip::default(),
-        heard: BTreeMap::new(),
+        gossip: Gossip::default(),
+        received: BTreeMap::new(),
     };
     let mut fleet: BTreeMap<Arc<str>, Router> =
-        (0..3).map(|it| (names[it].into(), router(it))).collect();
+        (0..3).map(|number| (names[number].into(), router(number))).collect();
     let first = fleet.get_mut("a").expect("a router");
-    first.spread.push(Origin::Own, hint("a"), 0, Millis::ZERO);
-    let sent = settle(&mut fleet);
+    first.gossip.push(Origin::Own, hint("a"), 0, Millis::ZERO);
+    let sent = deliver_all(&mut fleet);
     assert!(sent.values().sum::<usize>() < 30, "{sent:?}");
 }
--- a/components/fleet/tests/hearers.rs
+++ b/components/fleet/tests/hearers.rs
@@ -1,10 +1,10 @@
-//! Who hears from a router, also by way of others.
+//! The direct and indirect subscribers of routers.
 
 use clock::Millis;
 use edge::Peer;
 use fleet::Subscribers;
 
-/// How long a router waits until it asks again.
+/// The time between two queries of a router.
 const STEP: Millis = Millis(100);
 
 fn peer(number: u8) -> Peer {
@@ -16,100 +16,108 @@
     }
 }
 
-/// Routers that ask each other.
+/// Routers that query each other.
 struct Fleet {
     routers: Vec<(Peer, Subscribers)>,
     now: Millis,
-    /// The most names of one question.
-    most: usize,
+    /// The largest number of routers that one query listed.
+    max_listed: usize,
 }
 
 impl Fleet {
     fn new(size: u8) -> Self {
-        let router = |it: Peer| (it.clone(), Subscribers::new(it.name));
-        Self { routers: (0..size).map(peer).map(router).collect(), now: Millis::ZERO, most: 0 }
+        let router = |own: Peer| (own.clone(), Subscribers::new(own.name));
+        Self {
+            routers: (0..size).map(peer).map(router).collect(),
+            now: Millis::ZERO,
+            max_listed: 0,
+        }
     }
 
-    /// Each pair is one that asks and one that is asked.
-    fn ask(&mut self, pairs: &[(usize, usize)]) {
+    /// Sends one query for each pair of a router and its source.
+    fn query(&mut self, pairs: &[(usize, usize)]) {
         self.now = self.now + STEP;
-        for (asks, asked) in pairs {
-            let (own, hearers) = &mut self.routers[*asks];
-            hearers.expire(self.now);
-            let mut named = hearers.all();
-            named.insert(0, own.clone());
-            self.most = self.most.max(named.len());
-            self.routers[*asked].1.register(named, self.now);
+        for (querier, source) in pairs {
+            let (own, subscribers) = &mut self.routers[*querier];
+            subscribers.expire(self.now);
+            let mut listed = subscribers.all();
+            listed.insert(0, own.clone());
+            self.max_listed = self.max_listed.max(listed.len());
+            self.routers[*source].1.register(listed, self.now);
         }
     }
 
-    fn hears(&self, router: usize, from: usize) -> bool {
+    fn is_subscribed(&self, router: usize, source: usize) -> bool {
         let name = &self.routers[router].0.name;
-        self.routers[from].1.all().iter().any(|it| it.name == *name)
+        self.routers[source].1.all().iter().any(|subscriber| subscriber.name == *name)
     }
 }
 
 #[test]
-fn routers_that_hear_from_each_other_in_circles_are_named_once_each() {
+fn lists_each_router_of_a_cycle_once() {
     let mut fleet = Fleet::new(5);
     for step in 0..16 {
-        // Whom one asks changes, as where nobody knows anything new.
-        let pairs: Vec<_> = (0..5).map(|it| (it, (it + 1 + step % 4) % 5)).collect();
-        fleet.ask(&pairs);
-        assert!(fleet.most <= 5, "{} names of 5 routers after {step} steps", fleet.most);
+        // The sources change, as they do while no router has anything new.
+        let pairs: Vec<_> = (0..5).map(|router| (router, (router + 1 + step % 4) % 5)).collect();
+        fleet.query(&pairs);
+        assert!(
+            fleet.max_listed <= 5,
+            "{} names of 5 routers after {step} steps",
+            fleet.max_listed
+        );
     }
 }
 
 #[test]
-fn a_router_that_has_ended_is_forgotten_also_in_a_circle() {
+fn stopped_subscribers_expire_even_in_a_cycle() {
     let mut fleet = Fleet::new(4);
     for _ in 0..10 {
-        fleet.ask(&[(3, 1), (0, 1), (1, 2), (2, 0)]);
+        fleet.query(&[(3, 1), (0, 1), (1, 2), (2, 0)]);
     }
-    assert!(fleet.hears(3, 1));
+    assert!(fleet.is_subscribed(3, 1));
     for _ in 0..80 {
-        fleet.ask(&[(0, 1), (1, 2), (2, 0)]);
+        fleet.query(&[(0, 1), (1, 2), (2, 0)]);
     }
     for router in 0..3 {
-        assert!(!fleet.hears(3, router), "{router} still names it");
+        assert!(!fleet.is_subscribed(3, router), "{router} still names it");
     }
 }
 
 #[test]
-fn those_that_hear_by_way_of_others_are_named_at_the_top() {
+fn lists_indirect_subscribers() {
     let mut fleet = Fleet::new(6);
     for _ in 0..5 {
-        fleet.ask(&[(5, 4), (4, 2), (3, 1), (2, 0), (1, 0)]);
+        fleet.query(&[(5, 4), (4, 2), (3, 1), (2, 0), (1, 0)]);
     }
     for router in 1..6 {
-        assert!(fleet.hears(router, 0), "{router} is missing");
+        assert!(fleet.is_subscribed(router, 0), "{router} is missing");
     }
-    assert!(!fleet.hears(0, 0));
+    assert!(!fleet.is_subscribed(0, 0));
 }
 
 #[test]
-fn a_question_that_names_very_many_routers_takes_little_room() {
-    let mut hearers = Subscribers::new("front".into());
-    assert!(hearers.register(vec![peer(1); 100_000], Millis(1)));
-    let distinct = |it: usize| Peer { name: format!("other-{it}").into(), ..peer(2) };
-    assert!(hearers.register((0..100_000).map(distinct).collect(), Millis(1)));
-    assert!(hearers.all().len() <= 2_000, "{} routers", hearers.all().len());
+fn limits_the_routers_listed_by_one_query() {
+    let mut subscribers = Subscribers::new("front".into());
+    assert!(subscribers.register(vec![peer(1); 100_000], Millis(1)));
+    let distinct = |number: usize| Peer { name: format!("other-{number}").into(), ..peer(2) };
+    assert!(subscribers.register((0..100_000).map(distinct).collect(), Millis(1)));
+    assert!(subscribers.all().len() <= 2_000, "{} routers", subscribers.all().len());
 }
 
 #[test]
-fn a_router_that_comes_back_from_a_referral_is_answered_once_and_others_are_referred_to_it() {
-    let mut hearers = Subscribers::new("front".into());
+fn answers_a_referred_router_once_if_it_returns_and_uses_it_as_a_relay() {
+    let mut subscribers = Subscribers::new("front".into());
     for number in 0..24 {
-        assert!(hearers.register(vec![peer(number)], Millis(1)));
+        assert!(subscribers.register(vec![peer(number)], Millis(1)));
     }
-    assert!(!hearers.register(vec![peer(30)], Millis(1)));
-    assert!(hearers.register(vec![peer(30)], Millis(900)));
-    assert!(hearers.relays().any(|it| *it == peer(30)));
-    assert!(!hearers.register(vec![peer(30)], Millis(1_000)));
+    assert!(!subscribers.register(vec![peer(30)], Millis(1)));
+    assert!(subscribers.register(vec![peer(30)], Millis(900)));
+    assert!(subscribers.relays().any(|relay| *relay == peer(30)));
+    assert!(!subscribers.register(vec![peer(30)], Millis(1_000)));
     let mut answered = 0;
     for number in 40..140 {
-        hearers.register(vec![peer(number)], Millis(1_000));
-        answered += usize::from(hearers.register(vec![peer(number)], Millis(1_100)));
+        subscribers.register(vec![peer(number)], Millis(1_000));
+        answered += usize::from(subscribers.register(vec![peer(number)], Millis(1_100)));
     }
     assert!(answered <= 24, "{answered} at a time");
 }
--- a/components/fleet/tests/mirror.rs
+++ b/components/fleet/tests/mirror.rs
@@ -1,4 +1,4 @@
-//! What one router keeps for others must bring these to what the store holds.
+//! Routers that read from a mirror reach the store's content.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,7 +9,6 @@
 use proptest::prelude::*;
 use routing::Host;
 
-/// How many upstreams there may be.
 const UPSTREAMS: usize = 6;
 
 fn revision(number: u64) -> Revision {
@@ -30,7 +29,7 @@
     Fact::Upstream { host, sequence, cold: Millis::ZERO }
 }
 
-/// What a reader believes after some facts.
+/// The state of a router after some facts.
 #[derive(Debug, Default, PartialEq)]
 struct Reader {
     upstreams: BTreeMap<Arc<str>, u64>,
@@ -39,8 +38,8 @@
 }
 
 impl Reader {
-    fn take(&mut self, facts: &[Fact], whole: bool, number: u64) {
-        if whole {
+    fn apply(&mut self, facts: &[Fact], full: bool, number: u64) {
+        if full {
             *self = Self::default();
         }
         for fact in facts {
@@ -52,11 +51,11 @@
                     self.upstreams.remove(name);
                 }
                 Fact::Evacuated(domain) => {
-                    self.evacuated.retain(|it| it != domain);
+                    self.evacuated.retain(|evacuated| evacuated != domain);
                     self.evacuated.push(domain.clone());
                     self.evacuated.sort();
                 }
-                Fact::Restored(domain) => self.evacuated.retain(|it| it != domain),
+                Fact::Restored(domain) => self.evacuated.retain(|evacuated| evacuated != domain),
                 Fact::AllRestored => self.evacuated.clear(),
                 _ => {}
             }
@@ -64,13 +63,13 @@
         self.position = Some(number);
     }
 
-    /// Asks a mirror for what has changed.
-    fn ask(&mut self, mirror: &Mirror, now: Millis) {
+    /// Reads the changes, or everything, from a mirror.
+    fn read(&mut self, mirror: &Mirror, now: Millis) {
         let Some(position) = mirror.position() else { return };
-        let changes = self.position.and_then(|it| mirror.changes_since(revision(it), now));
+        let changes = self.position.and_then(|number| mirror.changes_since(revision(number), now));
         match changes {
-            Some(facts) => self.take(&facts, false, position.number),
-            None => self.take(&mirror.all(now), true, position.number),
+            Some(facts) => self.apply(&facts, false, position.number),
+            None => self.apply(&mirror.all(now), true, position.number),
         }
     }
 }
@@ -81,12 +80,12 @@
     Remove(usize),
     Evacuate,
     Restore,
-    /// The mirror's router looks at changes, or reads everything.
-    Look {
-        whole: bool,
+    /// The mirror's router polls the store for changes, or reads everything.
+    Poll {
+        full: bool,
     },
-    /// A reader asks the mirror.
-    Ask(usize),
+    /// A reader reads from the mirror.
+    Read(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -95,38 +94,38 @@
         (0..UPSTREAMS).prop_map(Step::Remove),
         Just(Step::Evacuate),
         Just(Step::Restore),
-        any::<bool>().prop_map(|whole| Step::Look { whole }),
-        (0..3_usize).prop_map(Step::Ask),
+        any::<bool>().prop_map(|full| Step::Poll { full }),
+        (0..3_usize).prop_map(Step::Read),
     ]
 }
 
 proptest! {
     #[test]
-    fn readers_of_a_mirror_come_to_believe_what_the_store_holds(
+    fn readers_reach_the_stores_content(
         steps in prop::collection::vec(step(), 1..80),
     ) {
         let domain: Arc<str> = "zone-b".into();
-        let mut held = Reader::default();
+        let mut expected = Reader::default();
         let mut history: Vec<(u64, Fact)> = Vec::new();
         let mut number = 1;
-        let mut seen = 0;
+        let mut polled = 0;
         let mut mirror = Mirror::default();
         let mut readers: [Reader; 3] = Default::default();
-        let look = |whole: bool, seen: &mut u64, mirror: &mut Mirror, held: &Reader,
+        let poll = |full: bool, polled: &mut u64, mirror: &mut Mirror, expected: &Reader,
                     history: &[(u64, Fact)], number: u64| {
-            let facts = if whole || *seen == 0 {
-                let upstreams = held.upstreams.iter().map(|(name, sequence)| {
+            let facts = if full || *polled == 0 {
+                let upstreams = expected.upstreams.iter().map(|(name, sequence)| {
                     upstream(name[2..].parse().expect("a number"), *sequence)
                 });
-                let evacuated = held.evacuated.iter().cloned().map(Fact::Evacuated);
+                let evacuated = expected.evacuated.iter().cloned().map(Fact::Evacuated);
                 std::iter::once(Fact::AllRestored).chain(upstreams).chain(evacuated).collect()
             } else {
-                history.iter().filter(|(at, _)| *at > *seen).map(|(_, it)| it.clone()).collect()
+                history.iter().filter(|(at, _)| *at > *polled).map(|(_, fact)| fact.clone()).collect()
             };
-            let whole = whole || *seen == 0;
-            *seen = number;
+            let full = full || *polled == 0;
+            *polled = number;
             let batch = Batch { facts, revision: revision(number), ..Batch::default() };
-            mirror.apply(&batch, whole, false, false, Millis(number));
+            mirror.apply(&batch, full, false, false, Millis(number));
         };
         for step in steps {
             let fact = match step {
@@ -134,26 +133,26 @@
                 Step::Remove(entry) => Some(Fact::UpstreamRemoved(format!("i-{entry}").into())),
                 Step::Evacuate => Some(Fact::Evacuated(domain.clone())),
                 Step::Restore => Some(Fact::Restored(domain.clone())),
-                Step::Look { whole } => {
-                    look(whole, &mut seen, &mut mirror, &held, &history, number);
+                Step::Poll { full } => {
+                    poll(full, &mut polled, &mut mirror, &expected, &history, number);
                     None
                 }
-                Step::Ask(reader) => {
-                    readers[reader].ask(&mirror, Millis(number));
+                Step::Read(reader) => {
+                    readers[reader].read(&mirror, Millis(number));
                     None
                 }
             };
             if let Some(fact) = fact {
                 number += 1;
-                held.take(std::slice::from_ref(&fact), false, number);
+                expected.apply(std::slice::from_ref(&fact), false, number);
                 history.push((number, fact));
             }
         }
-        look(false, &mut seen, &mut mirror, &held, &history, number);
-        held.position = Some(number);
+        poll(false, &mut polled, &mut mirror, &expected, &history, number);
+        expected.position = Some(number);
         for reader in &mut readers {
-            reader.ask(&mirror, Millis(number));
-            prop_assert_eq!(&*reader, &held);
+            reader.read(&mirror, Millis(number));
+            prop_assert_eq!(&*reader, &expected);
         }
     }
 }
@@ -161,19 +160,19 @@
 #[test]
 fn a_later_era_replaces_everything() {
     let mut mirror = Mirror::default();
-    let take = |mirror: &mut Mirror, era, number, facts| {
+    let apply = |mirror: &mut Mirror, era, number, facts| {
         let revision = Revision { era: Era(era), number };
         mirror.apply(&Batch { facts, revision, ..Batch::default() }, true, false, false, Millis(1));
     };
-    take(&mut mirror, 1, 50, vec![upstream(1, 1), upstream(2, 1)]);
-    take(&mut mirror, 2, 40, vec![upstream(1, 1)]);
+    apply(&mut mirror, 1, 50, vec![upstream(1, 1), upstream(2, 1)]);
+    apply(&mut mirror, 2, 40, vec![upstream(1, 1)]);
     assert_eq!(mirror.changes_since(Revision { era: Era(1), number: 50 }, Millis(2)), None);
     assert_eq!(mirror.all(Millis(2)).len(), 2);
     assert!(mirror.changes_since(Revision { era: Era(2), number: 39 }, Millis(2)).is_none());
 }
 
 #[test]
-fn what_is_missing_after_an_outage_is_told_as_missing() {
+fn upstreams_removed_during_an_outage_are_published_as_missing() {
     let mut mirror = Mirror::default();
     let batch = |number, facts| Batch { facts, revision: revision(number), ..Batch::default() };
     mirror.apply(&batch(1, vec![upstream(1, 1), upstream(2, 1)]), true, false, false, Millis(1));
@@ -191,12 +190,12 @@
         false,
         Millis(3),
     );
-    let told = mirror.changes_since(revision(1), Millis(4)).expect("changes");
-    assert_eq!(told, [Fact::UpstreamMissing("i-1".into()), Fact::UpstreamRemoved("i-2".into())]);
+    let changes = mirror.changes_since(revision(1), Millis(4)).expect("changes");
+    assert_eq!(changes, [Fact::UpstreamMissing("i-1".into()), Fact::UpstreamRemoved("i-2".into())]);
 }
 
 #[test]
-fn what_is_left_of_a_time_becomes_less() {
+fn remaining_cold_times_decrease() {
     let mut mirror = Mirror::default();
     let Fact::Upstream { host, sequence, .. } = upstream(1, 1) else { unreachable!() };
     let cold = |left| Fact::Upstream { host: host.clone(), sequence, cold: Millis(left) };
@@ -206,8 +205,8 @@
     assert_eq!(mirror.all(Millis(9_000)), [Fact::AllRestored, cold(0)]);
 }
 
-/// A mirror that has learnt `changes`, each of one revision.
-fn learnt(changes: &[(u64, Fact)]) -> Mirror {
+/// A mirror after `changes`, each of one revision.
+fn mirror_of(changes: &[(u64, Fact)]) -> Mirror {
     let mut mirror = Mirror::default();
     for (number, fact) in changes {
         let facts = vec![fact.clone()];
@@ -218,34 +217,33 @@
 }
 
 #[test]
-fn what_was_read_after_the_revision_of_a_read_is_told_to_those_that_have_come_to_that_revision() {
-    // Its first part is of revision 5, its last of 7, in which the upstream changed.
+fn changes_between_the_pages_of_a_read_reach_readers_at_the_revision_of_the_first_page() {
+    // The first page is of revision 5, the last of 7, in which the upstream changed.
     let read = |mirror: &mut Mirror, number, latest| {
         let facts = vec![Fact::AllRestored, upstream(1, 3)];
         let batch = Batch { facts, revision: revision(number), latest, ..Batch::default() };
         mirror.apply(&batch, true, false, false, Millis(number));
     };
     let position = revision(6);
-    let mut watches = learnt(&[(1, upstream(1, 1))]);
-    read(&mut watches, 5, 7);
+    let mut watching = mirror_of(&[(1, upstream(1, 1))]);
+    read(&mut watching, 5, 7);
     let event = Batch { facts: vec![upstream(1, 3)], revision: revision(9), ..Batch::default() };
-    watches.apply(&event, false, false, false, Millis(9));
-    assert_eq!(watches.changes_since(position, Millis(9)), Some(vec![upstream(1, 3)]));
+    watching.apply(&event, false, false, false, Millis(9));
+    assert_eq!(watching.changes_since(position, Millis(9)), Some(vec![upstream(1, 3)]));
 
-    // The history may be gone again by the next look.
-    let mut reads = learnt(&[(1, upstream(1, 1))]);
-    read(&mut reads, 5, 7);
-    read(&mut reads, 8, 8);
-    assert_eq!(reads.changes_since(position, Millis(9)), Some(vec![upstream(1, 3)]));
-    // It is told once: what was known then is no news later.
-    read(&mut reads, 10, 10);
-    assert_eq!(reads.changes_since(revision(8), Millis(9)), Some(vec![]));
+    // The next poll may have to read everything again.
+    let mut reading = mirror_of(&[(1, upstream(1, 1))]);
+    read(&mut reading, 5, 7);
+    read(&mut reading, 8, 8);
+    assert_eq!(reading.changes_since(position, Millis(9)), Some(vec![upstream(1, 3)]));
+    // Readers at a later revision don't get it again.
+    read(&mut reading, 10, 10);
+    assert_eq!(reading.changes_since(revision(8), Millis(9)), Some(vec![]));
 }
 
 #[test]
-fn what_was_removed_after_the_revision_of_a_read_is_told_to_those_that_have_come_to_that_revision()
-{
-    let mut mirror = learnt(&[(1, upstream(1, 1)), (2, upstream(2, 1))]);
+fn removals_between_the_pages_of_a_read_reach_readers_at_the_revision_of_the_first_page() {
+    let mut mirror = mirror_of(&[(1, upstream(1, 1)), (2, upstream(2, 1))]);
     for (number, latest) in [(5, 7), (8, 8)] {
         let facts = vec![Fact::AllRestored, upstream(1, 1)];
         let batch = Batch { facts, revision: revision(number), latest, ..Batch::default() };
@@ -258,19 +256,19 @@
 }
 
 #[test]
-fn what_changed_and_changed_back_is_told_to_those_that_know_it_otherwise() {
+fn a_reverted_change_reaches_readers_that_know_the_value_in_between() {
     let domain: Arc<str> = "zone-b".into();
     let evacuated = Fact::Evacuated(domain);
-    // Who has come to 7 elsewhere knows that it was restored then; this one was told of 9 only.
-    let mirror = learnt(&[(1, upstream(1, 1)), (5, evacuated.clone()), (9, evacuated.clone())]);
+    // A reader at revision 7 may know that the domain was restored; the mirror skipped to 9.
+    let mirror = mirror_of(&[(1, upstream(1, 1)), (5, evacuated.clone()), (9, evacuated.clone())]);
     assert_eq!(mirror.changes_since(revision(7), Millis(9)), Some(vec![evacuated]));
 }
 
 #[test]
-fn what_is_listed_again_as_it_was_is_no_news() {
+fn unchanged_listed_facts_are_no_changes() {
     let domain: Arc<str> = "zone-b".into();
     let evacuated = Fact::Evacuated(domain);
-    let mut mirror = learnt(&[(1, upstream(1, 1)), (5, evacuated.clone())]);
+    let mut mirror = mirror_of(&[(1, upstream(1, 1)), (5, evacuated.clone())]);
     let facts = vec![Fact::AllRestored, evacuated];
     let batch = Batch { facts, revision: revision(9), ..Batch::default() };
     mirror.apply(&batch, false, false, false, Millis(9));
--- a/components/fleet/tests/sources.rs
+++ b/components/fleet/tests/sources.rs
@@ -1,4 +1,4 @@
-//! Who looks at the store, and who asks whom.
+//! Which routers poll the store, and which routers the others query.
 
 use std::sync::Arc;
 
@@ -7,18 +7,16 @@
 use fleet::{Roster, Source, Sources};
 use proptest::prelude::*;
 
-/// How long a step of the tests takes.
 const STEP: Millis = Millis(100);
 
-/// How long an announcement lasts that its router can't renew, as the store does not answer it.
-const LEASE: Millis = Millis(20_000);
+/// How long an announcement lasts without renewal.
+const LEASE_TTL: Millis = Millis(20_000);
 
-/// How many routers of a domain follow the store where it is the only one; one where there are
-/// more.
-const FOLLOWING: usize = 2;
+/// The pollers of a single domain; with several, each has one.
+const POLLERS: usize = 2;
 
 fn peer(number: usize, domain: usize) -> Peer {
-    let [low, high] = [domain, number].map(|it| u8::try_from(it).expect("a small fleet"));
+    let [low, high] = [domain, number].map(|number| u8::try_from(number).expect("a small fleet"));
     Peer {
         name: format!("front-{domain}-{number}").into(),
         hints: Some(([10, 0, low, high], 9).into()),
@@ -27,127 +25,137 @@
     }
 }
 
-/// A router of a modelled fleet.
 struct Router {
     own: Peer,
     sources: Sources,
     roster: Roster,
-    lives: bool,
+    is_up: bool,
     /// Whether the store answers it.
-    reaches: bool,
-    /// When the store last did.
-    reached: Millis,
-    /// When it last knew what the store holds.
-    proof: Option<Millis>,
-    /// From whom it heard last.
+    reaches_store: bool,
+    /// When the store last answered it.
+    reached_store_at: Millis,
+    /// The time of its last confirmation.
+    confirmed_at: Option<Millis>,
     source: Option<Arc<str>>,
     /// The step whose announcements it knows.
-    seen: Option<usize>,
+    known_step: Option<usize>,
 }
 
-/// A fleet whose calls take no time. Who looks at the store learns there who follows it; who hears
-/// from another learns as much as that one knows.
+/// A fleet whose calls take no time. Routers read the announcements with each poll of the store;
+/// an answer of another router includes those that it knows.
 struct Fleet {
     routers: Vec<Router>,
     /// What was announced at each step.
     announced: Vec<Vec<Announcement>>,
     now: Millis,
-    looks: usize,
-    /// How many steps each router's look takes.
-    pace: usize,
+    /// How many polls of the store there were.
+    polls: usize,
+    /// How many steps each read takes.
+    read_steps: usize,
 }
 
 impl Fleet {
     fn new(domains: usize, size: usize) -> Self {
-        let own = (0..domains).flat_map(|domain| (0..size).map(move |it| peer(it, domain)));
+        let own = (0..domains).flat_map(|domain| (0..size).map(move |number| peer(number, domain)));
         let router = |own: Peer| Router {
             sources: Sources::new(own.clone(), Millis::ZERO),
             own,
             roster: Roster::default(),
-            lives: true,
-            reaches: true,
-            reached: Millis::ZERO,
-            proof: None,
+            is_up: true,
+            reaches_store: true,
+            reached_store_at: Millis::ZERO,
+            confirmed_at: None,
             source: None,
-            seen: None,
+            known_step: None,
         };
         let mut fleet = Self {
             routers: own.map(router).collect(),
             announced: Vec::new(),
             now: Millis::ZERO,
-            looks: 0,
-            pace: 1,
+            polls: 0,
+            read_steps: 1,
         };
         fleet.routers[0].sources.become_poller();
         fleet
     }
 
-    /// What the followers announce: themselves, and all that have heard from them.
+    /// The announcements of all pollers, with their subscribers.
     fn announcements(&self) -> Vec<Announcement> {
-        let is_announced =
-            |it: &&Router| it.sources.is_poller() && it.reached.until(self.now) < LEASE;
-        let followers = self.routers.iter().filter(|it| it.lives).filter(is_announced);
-        let announce = |it: &Router| {
-            let hears =
-                |other: &&Router| other.lives && other.source.as_ref() == Some(&it.own.name);
-            let hearers = self.routers.iter().filter(hears).map(|it| it.own.clone()).collect();
-            Announcement { router: it.own.clone(), hearers, most: 0 }
+        let is_announced = |router: &&Router| {
+            router.sources.is_poller() && router.reached_store_at.until(self.now) < LEASE_TTL
         };
-        followers.map(announce).collect()
+        let pollers = self.routers.iter().filter(|router| router.is_up).filter(is_announced);
+        let announce = |poller: &Router| {
+            let is_subscriber =
+                |other: &&Router| other.is_up && other.source.as_ref() == Some(&poller.own.name);
+            let hearers = self
+                .routers
+                .iter()
+                .filter(is_subscriber)
+                .map(|router| router.own.clone())
+                .collect();
+            Announcement { router: poller.own.clone(), hearers, most: 0 }
+        };
+        pollers.map(announce).collect()
     }
 
-    /// Lets a step of time pass, in which each router looks once.
+    /// Advances the time by a step, in which each router reads once if it is due.
     fn step(&mut self) {
         self.now = self.now + STEP;
-        for router in self.routers.iter_mut().filter(|it| it.reaches) {
-            router.reached = self.now;
+        for router in self.routers.iter_mut().filter(|router| router.reaches_store) {
+            router.reached_store_at = self.now;
         }
         self.announced.push(self.announcements());
         let latest = self.announced.len() - 1;
         let known: Vec<_> = self
             .routers
             .iter()
-            .map(|it| (it.own.name.clone(), it.lives, it.proof, it.seen))
+            .map(|router| {
+                (router.own.name.clone(), router.is_up, router.confirmed_at, router.known_step)
+            })
             .collect();
-        let (now, mut looks) = (self.now, 0);
-        let pace = self.pace;
-        let is_due =
-            |(place, it): &(usize, &mut Router)| it.lives && (place + latest).is_multiple_of(pace);
+        let (now, mut polls) = (self.now, 0);
+        let read_steps = self.read_steps;
+        let is_due = |(index, router): &(usize, &mut Router)| {
+            router.is_up && (index + latest).is_multiple_of(read_steps)
+        };
         for (_, router) in self.routers.iter_mut().enumerate().filter(is_due) {
-            // At its start a router reads from the store who follows it.
-            if router.seen.is_none() && router.reaches {
-                router.seen = Some(latest);
+            // A starting router reads the announcements from the store.
+            if router.known_step.is_none() && router.reaches_store {
+                router.known_step = Some(latest);
             }
-            let announcements = router.seen.map_or(&[][..], |it| &self.announced[it]);
-            let names = announcements.iter().map(|it| it.router.name.clone()).collect();
+            let announcements = router.known_step.map_or(&[][..], |step| &self.announced[step]);
+            let names =
+                announcements.iter().map(|announcement| announcement.router.name.clone()).collect();
             router.roster.retain(&names);
             for announcement in announcements {
                 router.roster.insert(announcement.clone());
             }
             router.sources.update_role(&mut router.roster, now);
             match router.sources.next(&mut router.roster, now) {
-                Source::Store if router.reaches => {
-                    looks += 1;
+                Source::Store if router.reaches_store => {
+                    polls += 1;
                     router.sources.record_store_success(now);
-                    router.proof = Some(now);
+                    router.confirmed_at = Some(now);
                     router.source = None;
-                    router.seen = Some(latest);
+                    router.known_step = Some(latest);
                 }
                 Source::Store => {
-                    looks += 1;
+                    polls += 1;
                     router.sources.record_store_failure(Millis(300), &mut router.roster, now);
                 }
                 Source::Router(peer) => {
-                    let told = known.iter().find(|it| it.0 == peer.name).filter(|it| it.1);
-                    router.seen = router.seen.max(told.and_then(|it| it.3));
-                    match told.and_then(|it| it.2) {
-                        Some(proof) if proof.until(now) < Millis(1_800) => {
-                            router.proof = router.proof.max(Some(proof));
+                    let answer =
+                        known.iter().find(|known| known.0 == peer.name).filter(|known| known.1);
+                    router.known_step = router.known_step.max(answer.and_then(|known| known.3));
+                    match answer.and_then(|known| known.2) {
+                        Some(confirmed_at) if confirmed_at.until(now) < Millis(1_800) => {
+                            router.confirmed_at = router.confirmed_at.max(Some(confirmed_at));
                             router.source = Some(peer.name.clone());
                             router.sources.record_success(&peer.name);
                         }
                         Some(_) => router.sources.record_stale(&peer.name, now),
-                        None if told.is_some() => {
+                        None if answer.is_some() => {
                             router.sources.record_referral(&peer.name, Vec::new(), now)
                         }
                         None => router.sources.record_failure(&peer.name, now),
@@ -156,7 +164,7 @@
                 Source::Pause(_) => {}
             }
         }
-        self.looks += looks;
+        self.polls += polls;
     }
 
     fn run(&mut self, time: Millis) {
@@ -165,108 +173,116 @@
         }
     }
 
-    fn followers(&self, domain: usize) -> usize {
+    fn pollers(&self, domain: usize) -> usize {
         let domain = format!("zone-{domain}");
-        let follows =
-            |it: &&Router| it.lives && it.sources.is_poller() && *it.own.domain == *domain;
-        self.routers.iter().filter(follows).count()
+        let is_poller = |router: &&Router| {
+            router.is_up && router.sources.is_poller() && *router.own.domain == *domain
+        };
+        self.routers.iter().filter(is_poller).count()
     }
 
-    /// The oldest proof of those that live.
-    fn oldest(&self) -> Option<Millis> {
-        let ages = self.routers.iter().filter(|it| it.lives).map(|it| it.proof);
-        ages.map(|it| it.map(|at| at.until(self.now)))
-            .max_by_key(|it| it.unwrap_or(Millis(u64::MAX)))?
+    /// The largest age of the confirmations of running routers.
+    fn max_age(&self) -> Option<Millis> {
+        let times =
+            self.routers.iter().filter(|router| router.is_up).map(|router| router.confirmed_at);
+        times
+            .map(|at| at.map(|at| at.until(self.now)))
+            .max_by_key(|age| age.unwrap_or(Millis(u64::MAX)))?
     }
 }
 
 #[test]
-fn few_routers_of_each_domain_follow_the_store_however_many_there_are() {
+fn each_domain_has_few_pollers_for_any_number_of_routers() {
     for (domains, size) in [(3, 1), (3, 2), (3, 3), (3, 10), (1, 77), (1, 120)] {
-        let following = if domains == 1 { FOLLOWING } else { 1 };
+        let expected = if domains == 1 { POLLERS } else { 1 };
         let mut fleet = Fleet::new(domains, size);
         for _ in 0..120 {
             fleet.step();
-            let most = (0..domains).map(|it| fleet.followers(it)).max();
+            let most = (0..domains).map(|domain| fleet.pollers(domain)).max();
             assert!(
-                most.is_some_and(|it| it <= FOLLOWING.min(size)),
+                most.is_some_and(|count| count <= POLLERS.min(size)),
                 "{most:?} of {size} at {}",
                 fleet.now
             );
         }
         for domain in 0..domains {
-            assert_eq!(fleet.followers(domain), following.min(size), "of {size}");
+            assert_eq!(fleet.pollers(domain), expected.min(size), "of {size}");
         }
-        let oldest = fleet.oldest();
-        assert!(oldest.is_some_and(|it| it <= Millis(400)), "{size}: {oldest:?}");
+        let max_age = fleet.max_age();
+        assert!(max_age.is_some_and(|age| age <= Millis(400)), "{size}: {max_age:?}");
     }
 }
 
 #[test]
-fn routers_whose_questions_wait_for_news_do_not_follow_together() {
+fn routers_do_not_become_pollers_together_while_queries_wait() {
     for (domains, size) in [(1, 30), (3, 12)] {
         let mut fleet = Fleet::new(domains, size);
-        fleet.pace = 12;
+        fleet.read_steps = 12;
         for _ in 0..200 {
             fleet.step();
-            let most = (0..domains).map(|it| fleet.followers(it)).max();
-            assert!(most.is_some_and(|it| it <= FOLLOWING), "{most:?} of {size} at {}", fleet.now);
+            let most = (0..domains).map(|domain| fleet.pollers(domain)).max();
+            assert!(
+                most.is_some_and(|count| count <= POLLERS),
+                "{most:?} of {size} at {}",
+                fleet.now
+            );
         }
-        assert!(fleet.oldest().is_some_and(|it| it <= Millis(4_000)), "{:?}", fleet.oldest());
+        assert!(fleet.max_age().is_some_and(|age| age <= Millis(4_000)), "{:?}", fleet.max_age());
     }
 }
 
 #[test]
-fn the_loss_of_followers_costs_a_few_looks_of_others() {
+fn the_loss_of_all_pollers_costs_few_polls_of_others() {
     let mut fleet = Fleet::new(1, 77);
     fleet.run(Millis(12_000));
-    for router in fleet.routers.iter_mut().filter(|it| it.sources.is_poller()) {
-        router.lives = false;
+    for router in fleet.routers.iter_mut().filter(|router| router.sources.is_poller()) {
+        router.is_up = false;
     }
-    fleet.looks = 0;
-    let mut worst = Millis::ZERO;
+    fleet.polls = 0;
+    let mut max_age = Millis::ZERO;
     for _ in 0..50 {
         fleet.step();
-        worst = worst.max(fleet.oldest().expect("a proof"));
+        max_age = max_age.max(fleet.max_age().expect("a confirmation"));
     }
-    assert!(fleet.followers(0) >= FOLLOWING);
-    assert!(worst <= Millis(3_000), "a proof of {worst}");
-    // Two followers look at each step; some more may begin until all know of them.
-    assert!(fleet.looks <= 50 * (FOLLOWING + 3), "{} looks", fleet.looks);
+    assert!(fleet.pollers(0) >= POLLERS);
+    assert!(max_age <= Millis(3_000), "a confirmation of {max_age}");
+    // Pollers poll at each step; more may begin until all routers know them.
+    assert!(fleet.polls <= 50 * (POLLERS + 3), "{} polls", fleet.polls);
     fleet.run(Millis(10_000));
-    assert_eq!(fleet.followers(0), FOLLOWING);
+    assert_eq!(fleet.pollers(0), POLLERS);
 }
 
 #[test]
-fn followers_that_the_store_turns_away_hear_from_others() {
+fn a_poller_without_access_to_the_store_reads_from_other_routers() {
     let mut fleet = Fleet::new(2, 20);
     fleet.run(Millis(12_000));
-    let first = fleet.routers.iter_mut().find(|it| it.sources.is_poller()).expect("a follower");
-    first.reaches = false;
+    let first =
+        fleet.routers.iter_mut().find(|router| router.sources.is_poller()).expect("a poller");
+    first.reaches_store = false;
     for _ in 0..80 {
         fleet.step();
-        assert!(fleet.oldest().is_some_and(|it| it <= Millis(2_500)), "{:?}", fleet.oldest());
+        assert!(fleet.max_age().is_some_and(|age| age <= Millis(2_500)), "{:?}", fleet.max_age());
     }
 }
 
 #[test]
-fn a_store_that_answers_nobody_is_asked_about_once_a_second_by_those_that_do_not_follow() {
+fn an_unavailable_store_gets_one_poll_a_second_from_other_routers_than_pollers() {
     let mut fleet = Fleet::new(1, 77);
     fleet.run(Millis(12_000));
-    fleet.routers.iter_mut().for_each(|it| it.reaches = false);
+    fleet.routers.iter_mut().for_each(|router| router.reaches_store = false);
     fleet.run(Millis(3_000));
-    fleet.looks = 0;
+    fleet.polls = 0;
     fleet.run(Millis(20_000));
-    // Two followers each 300 ms, and one other each second.
-    let expected = FOLLOWING * 20_000 / 300 + 20;
-    assert!(fleet.looks <= expected + expected / 10, "{} looks", fleet.looks);
-    fleet.routers.iter_mut().for_each(|it| it.reaches = true);
+    // Each poller polls every 300 ms, and one other router every second.
+    let expected = POLLERS * 20_000 / 300 + 20;
+    assert!(fleet.polls <= expected + expected / 10, "{} polls", fleet.polls);
+    fleet.routers.iter_mut().for_each(|router| router.reaches_store = true);
     fleet.run(Millis(1_500));
-    assert!(fleet.oldest().is_some_and(|it| it <= Millis(1_500)), "{:?}", fleet.oldest());
+    assert!(fleet.max_age().is_some_and(|age| age <= Millis(1_500)), "{:?}", fleet.max_age());
 }
 
 #[test]
-fn a_fleet_in_which_all_follow_comes_down_to_few_and_all_hear_of_the_store() {
+fn surplus_pollers_step_down_and_read_from_the_others() {
     for (domains, size) in [(3, 10), (1, 30), (5, 20)] {
         let mut fleet = Fleet::new(domains, size);
         for router in &mut fleet.routers {
@@ -275,11 +291,15 @@
         fleet.run(Millis(6_000));
         for _ in 0..150 {
             fleet.step();
-            let oldest = fleet.oldest();
-            assert!(oldest.is_some_and(|it| it <= Millis(2_500)), "{oldest:?} at {}", fleet.now);
+            let max_age = fleet.max_age();
+            assert!(
+                max_age.is_some_and(|age| age <= Millis(2_500)),
+                "{max_age:?} at {}",
+                fleet.now
+            );
         }
-        let most = (0..domains).map(|it| fleet.followers(it)).max();
-        assert!(most.is_some_and(|it| it <= FOLLOWING), "{most:?} of {size}");
+        let most = (0..domains).map(|domain| fleet.pollers(domain)).max();
+        assert!(most.is_some_and(|count| count <= POLLERS), "{most:?} of {size}");
     }
 }
 
@@ -301,33 +321,33 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
     #[test]
-    fn whoever_lives_comes_to_know_the_newest_whatever_happens_to_others(
+    fn running_routers_stay_current_under_random_faults(
         faults in prop::collection::vec((fault(), 1_u64..40), 1..12),
     ) {
         let mut fleet = Fleet::new(2, 12);
         fleet.run(Millis(8_000));
         for (fault, steps) in faults {
             match fault {
-                Fault::Kill(it) => fleet.routers[it].lives = false,
-                Fault::CutFromStore(it) => fleet.routers[it].reaches = false,
-                Fault::Mend => fleet.routers.iter_mut().for_each(|it| it.reaches = true),
+                Fault::Kill(index) => fleet.routers[index].is_up = false,
+                Fault::CutFromStore(index) => fleet.routers[index].reaches_store = false,
+                Fault::Mend => fleet.routers.iter_mut().for_each(|router| router.reaches_store = true),
             }
             for _ in 0..steps {
                 fleet.step();
             }
         }
-        // One that lives and reaches the store is enough for all.
-        if fleet.routers.iter().any(|it| it.lives && it.reaches) {
-            let lives = fleet.routers.iter().filter(|it| it.lives).count();
-            fleet.run(Millis(4_000 + 1_000 * lives as u64));
-            let oldest = fleet.oldest();
-            prop_assert!(oldest.is_some_and(|it| it <= Millis(2_500)), "{:?}", oldest);
+        // One running router with access to the store is enough for all.
+        if fleet.routers.iter().any(|router| router.is_up && router.reaches_store) {
+            let running = fleet.routers.iter().filter(|router| router.is_up).count();
+            fleet.run(Millis(4_000 + 1_000 * running as u64));
+            let max_age = fleet.max_age();
+            prop_assert!(max_age.is_some_and(|age| age <= Millis(2_500)), "{:?}", max_age);
         }
     }
 }
 
 #[test]
-fn whoever_lives_comes_to_know_the_newest_where_followers_are_cut_off_from_the_store() {
+fn running_routers_stay_current_if_pollers_lose_access_to_the_store() {
     use Fault::{CutFromStore, Kill};
     let kills = [(Kill(7), 1), (Kill(9), 1), (Kill(5), 2), (Kill(1), 37)];
     let cuts = [(CutFromStore(8), 30), (CutFromStore(16), 26), (CutFromStore(0), 28)];
@@ -335,77 +355,77 @@
     fleet.run(Millis(8_000));
     for (fault, steps) in kills.into_iter().chain(cuts) {
         match fault {
-            Kill(it) => fleet.routers[it].lives = false,
-            CutFromStore(it) => fleet.routers[it].reaches = false,
+            Kill(index) => fleet.routers[index].is_up = false,
+            CutFromStore(index) => fleet.routers[index].reaches_store = false,
             Fault::Mend => {}
         }
         for _ in 0..steps {
             fleet.step();
         }
     }
-    let lives = fleet.routers.iter().filter(|it| it.lives).count();
-    fleet.run(Millis(4_000 + 1_000 * lives as u64));
-    let oldest = fleet.oldest();
-    assert!(oldest.is_some_and(|it| it <= Millis(2_500)), "{oldest:?}");
+    let running = fleet.routers.iter().filter(|router| router.is_up).count();
+    fleet.run(Millis(4_000 + 1_000 * running as u64));
+    let max_age = fleet.max_age();
+    assert!(max_age.is_some_and(|age| age <= Millis(2_500)), "{max_age:?}");
 }
 
-/// A router of a domain without followers that hears from one far away, and its roster.
-fn away(number: usize) -> (Sources, Roster) {
+/// A router of a domain without pollers that reads from another domain, and its roster.
+fn remote_reader(number: usize) -> (Sources, Roster) {
     let mut sources = Sources::new(peer(number, 1), Millis::ZERO);
     let mut roster = Roster::default();
-    let (far, relay) = (peer(0, 0), peer(1, 0));
-    roster.insert(announces(&far));
-    sources.record_referral(&far.name, vec![relay.clone()], Millis::ZERO);
+    let (poller, relay) = (peer(0, 0), peer(1, 0));
+    roster.insert(announcement(&poller));
+    sources.record_referral(&poller.name, vec![relay.clone()], Millis::ZERO);
     assert_eq!(sources.next(&mut roster, Millis::ZERO), Source::Router(relay.clone()));
     sources.record_success(&relay.name);
     (sources, roster)
 }
 
-fn announces(router: &Peer) -> Announcement {
+fn announcement(router: &Peer) -> Announcement {
     Announcement { router: router.clone(), hearers: Vec::new(), most: 0 }
 }
 
 #[test]
-fn routers_that_hear_from_far_go_home_once_one_follows_there_but_not_all_at_once() {
-    let home = peer(100, 1);
-    let mut homecomers = vec![0; 100];
+fn routers_return_to_a_new_poller_of_their_domain_spread_over_time() {
+    let local = peer(100, 1);
+    let mut returns = vec![0; 100];
     for number in 0..60 {
-        let (mut sources, mut roster) = away(number);
-        roster.insert(announces(&home));
-        let asks_home = |step: &usize| {
+        let (mut sources, mut roster) = remote_reader(number);
+        roster.insert(announcement(&local));
+        let reads_locally = |step: &usize| {
             let now = Millis(100 * *step as u64);
             let next = sources.next(&mut roster, now);
-            if let Source::Router(it) = &next {
-                sources.record_success(&it.name);
+            if let Source::Router(peer) = &next {
+                sources.record_success(&peer.name);
             }
-            next == Source::Router(home.clone())
+            next == Source::Router(local.clone())
         };
-        let came = (1..homecomers.len()).find(asks_home).expect("it goes home");
-        homecomers[came] += 1;
+        let step = (1..returns.len()).find(reads_locally).expect("it returns");
+        returns[step] += 1;
     }
-    let most = homecomers.windows(10).map(|it| it.iter().sum::<usize>()).max();
-    assert!(most.is_some_and(|it| it <= 30), "{homecomers:?}");
+    let most = returns.windows(10).map(|window| window.iter().sum::<usize>()).max();
+    assert!(most.is_some_and(|count| count <= 30), "{returns:?}");
 }
 
 #[test]
-fn a_router_that_has_nobody_else_asks_the_follower_of_its_domain_at_once() {
-    let home = peer(100, 1);
-    let (mut sources, mut roster) = away(1);
-    roster.insert(announces(&home));
+fn a_router_without_a_source_reads_from_a_poller_of_its_domain_at_once() {
+    let local = peer(100, 1);
+    let (mut sources, mut roster) = remote_reader(1);
+    roster.insert(announcement(&local));
     sources.record_failure(&peer(0, 0).name, Millis(100));
     sources.record_failure(&peer(1, 0).name, Millis(100));
-    assert_eq!(sources.next(&mut roster, Millis(200)), Source::Router(home));
+    assert_eq!(sources.next(&mut roster, Millis(200)), Source::Router(local));
 }
 
 #[test]
-fn routers_that_hear_from_this_one_are_asked_last() {
+fn subscribers_are_queried_last() {
     let mut sources = Sources::new(peer(1, 0), Millis::ZERO);
     let mut roster = Roster::default();
-    let (hears, other) = (peer(2, 0), peer(3, 1));
-    roster.insert(announces(&hears));
-    roster.insert(announces(&other));
-    sources.set_subscribers([hears.name.clone()].into());
+    let (subscriber, other) = (peer(2, 0), peer(3, 1));
+    roster.insert(announcement(&subscriber));
+    roster.insert(announcement(&other));
+    sources.set_subscribers([subscriber.name.clone()].into());
     assert_eq!(sources.next(&mut roster, Millis(100)), Source::Router(other.clone()));
     sources.record_failure(&other.name, Millis(200));
-    assert_eq!(sources.next(&mut roster, Millis(300)), Source::Router(hears));
+    assert_eq!(sources.next(&mut roster, Millis(300)), Source::Router(subscriber));
 }
--- a/components/fleet/tests/starts.rs
+++ b/components/fleet/tests/starts.rs
@@ -1,23 +1,22 @@
-//! Routers that all start at once: how long until each has heard what the store holds.
+//! Routers that start at the same time soon have the store's content.
 
 use clock::Millis;
 use edge::{Announcement, Peer};
 use fleet::{Roster, Source, Sources, Subscribers};
 
-/// How long a step of the tests takes.
 const STEP: Millis = Millis(100);
 
-/// How many steps a question waits for news.
-const WAIT: usize = 3;
+/// How many steps a first query waits for changes.
+const MIN_WAIT: usize = 3;
 
-/// How many steps pass until a router that says nothing counts as failed.
-const SILENCE: usize = 7;
+/// After how many steps without an answer a query fails.
+const TIMEOUT: usize = 7;
 
-/// The oldest proof that is new enough.
-const OLD: Millis = Millis(1_800);
+/// The age at which a confirmation is stale.
+const STALE_AGE: Millis = Millis(1_800);
 
 fn peer(number: usize, domain: usize) -> Peer {
-    let [low, high] = [domain, number].map(|it| u8::try_from(it).expect("a small fleet"));
+    let [low, high] = [domain, number].map(|number| u8::try_from(number).expect("a small fleet"));
     Peer {
         name: format!("front-{domain}-{number}").into(),
         hints: Some(([10, 0, low, high], 9).into()),
@@ -26,9 +25,9 @@
     }
 }
 
-/// A question that is under way.
-struct Question {
-    asked: usize,
+/// A query that waits for its answer.
+struct Query {
+    source: usize,
     began: usize,
 }
 
@@ -36,56 +35,60 @@
     own: Peer,
     sources: Sources,
     roster: Roster,
-    /// What it knows of the store.
+    /// The announcements that it has read.
     known: Vec<Announcement>,
-    hearers: Subscribers,
-    starts: usize,
-    /// Until when it is too busy to answer.
+    subscribers: Subscribers,
+    /// The step of its next action.
+    next_step: usize,
+    /// Until which step it does not answer.
     busy_until: usize,
-    met: bool,
-    proof: Option<Millis>,
-    heard: Option<usize>,
-    question: Option<Question>,
-    /// How many routers it told everything.
-    told: usize,
+    has_read_announcements: bool,
+    confirmed_at: Option<Millis>,
+    /// The step in which it first had the store's content.
+    served_at: Option<usize>,
+    query: Option<Query>,
+    /// How many full answers it has sent.
+    full_answers: usize,
 }
 
 struct Fleet {
     routers: Vec<Router>,
-    /// What stands in the store.
+    /// The announcements in the store.
     announced: Vec<Announcement>,
+    /// The step from which the store answers.
     store_from: usize,
     step: usize,
-    /// Looks at the store, and readings of who follows.
+    /// Polls of the store, and reads of the announcements.
     calls: usize,
 }
 
 impl Fleet {
-    /// `before` routers of each domain followed in an earlier life.
-    fn new(domains: usize, size: usize, before: usize) -> Self {
+    /// `pollers` routers of each domain polled the store before they restarted.
+    fn new(domains: usize, size: usize, pollers: usize) -> Self {
         let router = |own: Peer| Router {
             sources: Sources::new(own.clone(), Millis::ZERO),
-            hearers: Subscribers::new(own.name.clone()),
+            subscribers: Subscribers::new(own.name.clone()),
             roster: Roster::default(),
             known: Vec::new(),
-            starts: 0,
+            next_step: 0,
             busy_until: 0,
-            met: false,
-            proof: None,
-            heard: None,
-            question: None,
-            told: 0,
+            has_read_announcements: false,
+            confirmed_at: None,
+            served_at: None,
+            query: None,
+            full_answers: 0,
             own,
         };
-        let all = (0..domains).flat_map(|domain| (0..size).map(move |it| peer(it, domain)));
-        let followed = (0..domains).flat_map(|domain| (0..before).map(move |it| (it, domain)));
-        let announce = |(it, domain)| {
-            let hearers = (before..size).map(|it| peer(it, domain)).collect();
-            Announcement { router: peer(it, domain), hearers, most: 0 }
+        let all = (0..domains).flat_map(|domain| (0..size).map(move |number| peer(number, domain)));
+        let announced =
+            (0..domains).flat_map(|domain| (0..pollers).map(move |number| (number, domain)));
+        let announce = |(number, domain)| {
+            let hearers = (pollers..size).map(|number| peer(number, domain)).collect();
+            Announcement { router: peer(number, domain), hearers, most: 0 }
         };
         Self {
             routers: all.map(router).collect(),
-            announced: followed.map(announce).collect(),
+            announced: announced.map(announce).collect(),
             store_from: 0,
             step: 0,
             calls: 0,
@@ -96,42 +99,49 @@
         Millis(STEP.0 * self.step as u64)
     }
 
-    fn place(&self, name: &str) -> Option<usize> {
-        self.routers.iter().position(|it| *it.own.name == *name)
+    fn index_of(&self, name: &str) -> Option<usize> {
+        self.routers.iter().position(|router| *router.own.name == *name)
     }
 
-    fn pass(&mut self) {
+    fn step(&mut self) {
         self.step += 1;
-        for place in 0..self.routers.len() {
-            if self.step < self.routers[place].starts {
+        for index in 0..self.routers.len() {
+            if self.step < self.routers[index].next_step {
                 continue;
             }
-            if self.routers[place].question.is_some() {
-                self.wait(place);
-            } else if self.routers[place].met {
-                self.look(place);
+            if self.routers[index].query.is_some() {
+                self.receive(index);
+            } else if self.routers[index].has_read_announcements {
+                self.read(index);
             } else {
-                self.meet(place);
+                self.read_announcements(index);
             }
         }
-        let follows = |it: &&Router| it.met && it.sources.is_poller() && it.proof.is_some();
-        for router in self.routers.iter().filter(follows) {
-            let announcement =
-                Announcement { router: router.own.clone(), hearers: router.hearers.all(), most: 0 };
-            self.announced.retain(|it| it.router.name != router.own.name);
+        let is_announced = |router: &&Router| {
+            router.has_read_announcements
+                && router.sources.is_poller()
+                && router.confirmed_at.is_some()
+        };
+        for router in self.routers.iter().filter(is_announced) {
+            let announcement = Announcement {
+                router: router.own.clone(),
+                hearers: router.subscribers.all(),
+                most: 0,
+            };
+            self.announced.retain(|other| other.router.name != router.own.name);
             self.announced.push(announcement);
         }
     }
 
-    /// Reads at its start who follows.
-    fn meet(&mut self, place: usize) {
+    /// Reads the announcements at a router's start.
+    fn read_announcements(&mut self, index: usize) {
         self.calls += 1;
-        let router = &mut self.routers[place];
+        let router = &mut self.routers[index];
         if self.step < self.store_from {
-            router.starts = self.step + 3;
+            router.next_step = self.step + 3;
             return;
         }
-        router.met = true;
+        router.has_read_announcements = true;
         for announcement in &self.announced {
             router.roster.insert(announcement.clone());
         }
@@ -140,150 +150,157 @@
         }
     }
 
-    fn look(&mut self, place: usize) {
+    /// Reads from the source that a router chooses.
+    fn read(&mut self, index: usize) {
         let now = self.now();
-        let up = self.step >= self.store_from;
+        let is_up = self.step >= self.store_from;
         let announced = self.announced.clone();
-        let router = &mut self.routers[place];
+        let router = &mut self.routers[index];
         router.sources.update_role(&mut router.roster, now);
         match router.sources.next(&mut router.roster, now) {
-            Source::Store if up => {
+            Source::Store if is_up => {
                 self.calls += 1;
                 router.sources.record_store_success(now);
-                learn(router, &announced, now, self.step);
-                // The next look is due in a second.
-                router.starts = self.step + 10;
+                apply(router, &announced, now, self.step);
+                // Polls are a second apart.
+                router.next_step = self.step + 10;
             }
             Source::Store => {
                 self.calls += 1;
                 router.sources.record_store_failure(Millis(300), &mut router.roster, now);
             }
-            Source::Router(peer) => self.ask(place, &peer),
+            Source::Router(peer) => self.query(index, &peer),
             Source::Pause(pause) => {
-                router.starts =
+                router.next_step =
                     self.step + usize::try_from(pause.0 / STEP.0).expect("a short pause");
             }
         }
     }
 
-    fn ask(&mut self, place: usize, peer: &Peer) {
+    fn query(&mut self, index: usize, peer: &Peer) {
         let now = self.now();
-        let asked = self.place(&peer.name).expect("a known router");
-        if !self.routers[asked].met && self.step < self.routers[asked].starts {
-            return self.routers[place].sources.record_failure(&peer.name, now);
+        let source = self.index_of(&peer.name).expect("a known router");
+        if !self.routers[source].has_read_announcements
+            && self.step < self.routers[source].next_step
+        {
+            return self.routers[index].sources.record_failure(&peer.name, now);
         }
-        let mut named = self.routers[place].hearers.all();
-        named.insert(0, self.routers[place].own.clone());
-        if self.routers[asked].hearers.register(named, now) {
-            self.routers[place].question = Some(Question { asked, began: self.step });
-            return self.wait(place);
+        let mut listed = self.routers[index].subscribers.all();
+        listed.insert(0, self.routers[index].own.clone());
+        if self.routers[source].subscribers.register(listed, now) {
+            self.routers[index].query = Some(Query { source, began: self.step });
+            return self.receive(index);
         }
-        let others = self.routers[asked].hearers.relays().cloned().collect();
-        self.routers[place].sources.record_referral(&peer.name, others, now);
+        let others = self.routers[source].subscribers.relays().cloned().collect();
+        self.routers[index].sources.record_referral(&peer.name, others, now);
     }
 
-    /// Takes the answer to a question, if there is one by now.
-    fn wait(&mut self, place: usize) {
+    /// Receives the answer to a router's query if its source has answered.
+    fn receive(&mut self, index: usize) {
         let now = self.now();
-        let Some(question) = self.routers[place].question.take() else { return };
-        let asked = &mut self.routers[question.asked];
-        let name = asked.own.name.clone();
-        if self.step < asked.busy_until {
-            if self.step >= question.began + SILENCE {
-                self.routers[place].sources.record_failure(&name, now);
+        let Some(query) = self.routers[index].query.take() else { return };
+        let source = &mut self.routers[query.source];
+        let name = source.own.name.clone();
+        if self.step < source.busy_until {
+            if self.step >= query.began + TIMEOUT {
+                self.routers[index].sources.record_failure(&name, now);
             } else {
-                self.routers[place].question = Some(question);
+                self.routers[index].query = Some(query);
             }
             return;
         }
-        let (proof, announced) = (asked.proof, asked.known.clone());
-        let known = self.routers[place].proof;
-        let is_news = proof.is_some_and(|it| known.is_none_or(|known| it > known + Millis(200)));
-        let Some(proof) = proof.filter(|_| is_news) else {
-            if self.step >= question.began + if known.is_some() { 12 } else { WAIT } {
-                self.routers[place].sources.record_referral(&name, Vec::new(), now);
+        let (confirmed_at, announced) = (source.confirmed_at, source.known.clone());
+        let known = self.routers[index].confirmed_at;
+        let is_newer =
+            confirmed_at.is_some_and(|at| known.is_none_or(|known| at > known + Millis(200)));
+        let Some(confirmed_at) = confirmed_at.filter(|_| is_newer) else {
+            if self.step >= query.began + if known.is_some() { 12 } else { MIN_WAIT } {
+                self.routers[index].sources.record_referral(&name, Vec::new(), now);
             } else {
-                self.routers[place].question = Some(question);
+                self.routers[index].query = Some(query);
             }
             return;
         };
         if known.is_none() {
-            self.routers[question.asked].told += 1;
+            self.routers[query.source].full_answers += 1;
         }
         let step = self.step;
-        let router = &mut self.routers[place];
-        learn(router, &announced, proof, step);
-        if proof.until(now) < OLD {
+        let router = &mut self.routers[index];
+        apply(router, &announced, confirmed_at, step);
+        if confirmed_at.until(now) < STALE_AGE {
             router.sources.record_success(&name);
         } else {
             router.sources.record_stale(&name, now);
         }
     }
 
-    /// The steps by which all, and 95 in 100, have heard, within `most` steps.
-    fn heard(&mut self, most: usize) -> (Option<usize>, Option<usize>) {
-        for _ in 0..most {
-            self.pass();
+    /// Runs `steps` steps; returns after how many all, and 95 % of all, routers had the content.
+    fn run(&mut self, steps: usize) -> (Option<usize>, Option<usize>) {
+        for _ in 0..steps {
+            self.step();
         }
-        let mut heard: Vec<_> = self.routers.iter().map(|it| it.heard).collect();
-        heard.sort_by_key(|it| it.unwrap_or(usize::MAX));
-        (heard[heard.len() - 1], heard[heard.len() * 95 / 100 - 1])
+        let mut served: Vec<_> = self.routers.iter().map(|router| router.served_at).collect();
+        served.sort_by_key(|step| step.unwrap_or(usize::MAX));
+        (served[served.len() - 1], served[served.len() * 95 / 100 - 1])
     }
 
-    fn most_told(&self) -> usize {
-        self.routers.iter().map(|it| it.told).max().unwrap_or_default()
+    fn max_full_answers(&self) -> usize {
+        self.routers.iter().map(|router| router.full_answers).max().unwrap_or_default()
     }
 }
 
-fn learn(router: &mut Router, announced: &[Announcement], proof: Millis, step: usize) {
+fn apply(router: &mut Router, announced: &[Announcement], confirmed_at: Millis, step: usize) {
     for announcement in announced {
         router.roster.insert(announcement.clone());
     }
     router.known = announced.to_vec();
-    router.proof = router.proof.max(Some(proof));
-    router.heard.get_or_insert(step);
+    router.confirmed_at = router.confirmed_at.max(Some(confirmed_at));
+    router.served_at.get_or_insert(step);
 }
 
 #[test]
-fn routers_that_all_start_at_once_hear_within_a_second_from_those_that_followed() {
-    for (domains, size, most) in [(3, 10, 10), (3, 40, 15), (3, 100, 20), (1, 100, 20)] {
+fn a_restarted_fleet_reads_from_its_previous_pollers() {
+    for (domains, size, max_steps) in [(3, 10, 10), (3, 40, 15), (3, 100, 20), (1, 100, 20)] {
         let mut fleet = Fleet::new(domains, size, 1);
-        let (heard, _) = fleet.heard(80);
-        assert!(heard.is_some_and(|it| it <= most), "{domains} x {size}: {heard:?}");
-        // Each reads who follows, and those that follow look once a second.
+        let (served, _) = fleet.run(80);
+        assert!(served.is_some_and(|step| step <= max_steps), "{domains} x {size}: {served:?}");
+        // Each router reads the announcements, and pollers poll once a second.
         assert!(fleet.calls <= domains * (size + 16), "{} calls of {size}", fleet.calls);
-        assert!(fleet.most_told() <= 24, "{} whole answers", fleet.most_told());
+        assert!(fleet.max_full_answers() <= 24, "{} full answers", fleet.max_full_answers());
     }
 }
 
 #[test]
-fn routers_that_start_while_the_store_is_away_hear_soon_after_it_answers() {
-    for (domains, size, most) in [(3, 10, 10), (3, 40, 15), (3, 100, 20)] {
+fn routers_started_during_an_outage_have_the_content_soon_after_it() {
+    for (domains, size, max_steps) in [(3, 10, 10), (3, 40, 15), (3, 100, 20)] {
         let mut fleet = Fleet::new(domains, size, 1);
         fleet.store_from = 30;
-        for (place, router) in fleet.routers.iter_mut().enumerate() {
-            router.starts = place % 7;
+        for (index, router) in fleet.routers.iter_mut().enumerate() {
+            router.next_step = index % 7;
         }
-        let (heard, _) = fleet.heard(120);
-        assert!(heard.is_some_and(|it| it <= 30 + most), "{domains} x {size}: {heard:?}");
-        assert!(fleet.most_told() <= 24, "{} whole answers", fleet.most_told());
+        let (served, _) = fleet.run(120);
+        assert!(
+            served.is_some_and(|step| step <= 30 + max_steps),
+            "{domains} x {size}: {served:?}"
+        );
+        assert!(fleet.max_full_answers() <= 24, "{} full answers", fleet.max_full_answers());
     }
 }
 
 #[test]
-fn routers_whose_references_say_nothing_ask_those_anew_that_referred_them() {
-    for (domains, size, most) in [(1, 40, 20), (1, 100, 20), (3, 40, 20)] {
+fn routers_query_their_poller_again_if_its_relays_do_not_answer() {
+    for (domains, size, max_steps) in [(1, 40, 20), (1, 100, 20), (3, 40, 20)] {
         let mut fleet = Fleet::new(domains, size, 1);
-        // Those that come first are answered, and are busy with what they were told.
-        for place in 0..domains * size {
-            let within = place % size;
-            fleet.routers[place].starts = usize::from(within > 24);
+        // The routers that start first are answered, and become relays that don't answer.
+        for index in 0..domains * size {
+            let within = index % size;
+            fleet.routers[index].next_step = usize::from(within > 24);
             if (1..=24).contains(&within) {
-                fleet.routers[place].busy_until = 60;
+                fleet.routers[index].busy_until = 60;
             }
         }
-        let (_, heard) = fleet.heard(80);
-        assert!(heard.is_some_and(|it| it <= most), "{domains} x {size}: {heard:?}");
+        let (_, served) = fleet.run(80);
+        assert!(served.is_some_and(|step| step <= max_steps), "{domains} x {size}: {served:?}");
         assert!(fleet.calls <= domains * (size + 24), "{} calls of {size}", fleet.calls);
     }
 }
--- a/components/store/src/error.rs
+++ b/components/store/src/error.rs
@@ -1,15 +1,15 @@
-//! What can go wrong with the platform.
+//! Errors of the platform's services.
 
 use snafu::Snafu;
 
-/// A fault of one of the platform's services.
+/// An error of one of the platform's services.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
     /// The service can't be reached or broke off; a write may have taken effect.
     #[snafu(display("the platform's service did not answer: {reason}"))]
     Unreachable {
-        /// What the client says.
+        /// The client's error.
         reason: String,
     },
     /// The service answered with an error.
@@ -21,10 +21,10 @@
     /// The answer can't be read.
     #[snafu(display("the answer can't be read"))]
     Malformed {
-        /// What `serde_json` says.
+        /// The parser's error.
         source: serde_json::Error,
     },
-    /// The answer holds no value where one must be.
+    /// The answer lacks a required value.
     #[snafu(display("the answer holds no value"))]
     MissingValue,
 }
--- a/components/store/src/hosts.rs
+++ b/components/store/src/hosts.rs
@@ -14,22 +14,20 @@
 /// How long an idle connection to the platform is kept.
 pub(crate) const KEEP_ALIVE: Seconds = Seconds(4);
 
-/// How long the list may take to come.
-const TIMEOUT: Millis = Millis(2_000);
+const REQUEST_TIMEOUT: Millis = Millis(2_000);
 
-/// The longest list, in bytes.
-const MAX_LIST: usize = 8 * 1024 * 1024;
+const MAX_LIST_BYTES: usize = 8 * 1024 * 1024;
 
 /// One host of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// The upstream's name.
     pub name: Arc<str>,
-    /// Where its sidecar listens.
+    /// The address of its sidecar.
     pub address: Arc<str>,
     /// Its failure domain.
     pub domain: Arc<str>,
-    /// What the platform says of it.
+    /// The platform's labels.
     #[serde(default)]
     pub labels: BTreeMap<Arc<str>, Arc<str>>,
     /// Whether it is leaving.
@@ -37,46 +35,45 @@
     pub leaving: bool,
 }
 
-/// A reader of the list.
+/// A client that reads the list.
 #[derive(Debug)]
 pub struct Hosts {
     client: Client,
     url: Arc<str>,
-    /// The tag of the list that was read last.
-    tag: Option<String>,
+    /// The entity tag of the list that was read last.
+    etag: Option<String>,
 }
 
-/// What one look at the list brought.
+/// The answer to one request for the list.
 #[derive(Clone, Debug)]
 pub struct Update {
     /// The list, if it has changed.
     pub entries: Option<Vec<Entry>>,
-    /// The bytes of the list that came.
+    /// The length of the received list in bytes.
     pub bytes: usize,
 }
 
 impl Hosts {
-    /// A reader of the list at `base`.
+    /// Creates a client for the list at `base`.
     ///
     /// # Errors
     ///
-    /// The runtime can't make a client.
+    /// The runtime can't create an HTTP client.
     pub async fn new(base: &str) -> Result<Self, Error> {
         let client =
             process::client(KEEP_ALIVE, process::CONNECT_TIMEOUT).await.map_err(unreachable)?;
-        Ok(Self { client, url: format!("{base}/v1/hosts").into(), tag: None })
+        Ok(Self { client, url: format!("{base}/v1/hosts").into(), etag: None })
     }
 
-    /// The list as it is now, if it has changed since it was read last; it lags
-    /// behind the truth.
+    /// Reads the list if it has changed since the last call. The list lags behind the hosts.
     ///
     /// # Errors
     ///
     /// The service did not answer, or not with a list.
     pub async fn fetch(&mut self) -> Result<Update, Error> {
-        let mut request = self.client.get(&*self.url).timeout(TIMEOUT);
-        if let Some(tag) = &self.tag {
-            request = request.header("if-none-match", tag);
+        let mut request = self.client.get(&*self.url).timeout(REQUEST_TIMEOUT);
+        if let Some(etag) = &self.etag {
+            request = request.header("if-none-match", etag);
         }
         let response = request.send().await.map_err(unreachable)?;
         match response.status().as_u16() {
@@ -84,14 +81,14 @@
             304 => return Ok(Update { entries: None, bytes: 0 }),
             status => return Err(Error::Status { status }),
         }
-        let tag = response.header("etag").and_then(|it| it.to_str().ok()).map(str::to_owned);
-        let body = response.body().limit(MAX_LIST).await.map_err(unreachable)?;
+        let etag = response.header("etag").and_then(|value| value.to_str().ok()).map(str::to_owned);
+        let body = response.body().limit(MAX_LIST_BYTES).await.map_err(unreachable)?;
         let entries = serde_json::from_slice(&body).context(MalformedSnafu)?;
-        self.tag = tag;
+        self.etag = etag;
         Ok(Update { entries: Some(entries), bytes: body.len() })
     }
 }
 
-pub(crate) fn unreachable(fault: impl std::fmt::Display) -> Error {
-    Error::Unreachable { reason: fault.to_string() }
+pub(crate) fn unreachable(error: impl std::fmt::Display) -> Error {
+    Error::Unreachable { reason: error.to_string() }
 }
--- a/components/store/src/lib.rs
+++ b/components/store/src/lib.rs
@@ -1,7 +1,7 @@
-//! The platform's services at the edge of a process.
+//! Clients of the platform's services.
 //!
-//! [`Hosts`] reads the lagging list of live and leaving hosts; [`Store`] speaks
-//! the JSON over HTTP form of the etcd v3 key-value service.
+//! [`Hosts`] reads the list of live and leaving hosts; [`Store`] is a client of
+//! the etcd v3 key-value service, over JSON and HTTP.
 
 mod error;
 mod hosts;
--- a/components/store/src/store.rs
+++ b/components/store/src/store.rs
@@ -1,4 +1,4 @@
-//! The key-value service: etcd v3, JSON over HTTP.
+//! A client of the key-value service: etcd v3, JSON over HTTP.
 
 use std::sync::Arc;
 
@@ -13,8 +13,7 @@
 use crate::error::{MalformedSnafu, MissingValueSnafu};
 use crate::hosts::{KEEP_ALIVE, unreachable};
 
-/// How long one call may take.
-const TIMEOUT: Millis = Millis(1_000);
+const REQUEST_TIMEOUT: Millis = Millis(1_000);
 
 /// A client of the key-value service.
 #[derive(Debug)]
@@ -24,21 +23,21 @@
 }
 
 impl Store {
-    /// A client of the service at `base`.
+    /// Creates a client for the service at `base`.
     ///
     /// # Errors
     ///
-    /// The runtime can't make a client.
+    /// The runtime can't create an HTTP client.
     pub async fn new(base: &str) -> Result<Self, Error> {
         let client =
             process::client(KEEP_ALIVE, process::CONNECT_TIMEOUT).await.map_err(unreachable)?;
         Ok(Self { client, base: base.into() })
     }
 
-    /// The value of `key`, after writing `value` if there was none.
+    /// Returns the value of `key`, after writing `value` if there was none.
     ///
     /// One transaction both writes and reads, and the value is never changed
-    /// again, so a call whose answer was lost may simply be made once more.
+    /// again, so a call whose answer was lost can be repeated.
     ///
     /// # Errors
     ///
@@ -64,7 +63,7 @@
 
     async fn call(&self, path: &str, body: &Value) -> Result<Value, Error> {
         let url = format!("{}{path}", self.base);
-        let request = self.client.post(url).timeout(TIMEOUT).send_json(body);
+        let request = self.client.post(url).timeout(REQUEST_TIMEOUT).send_json(body);
         let response = request.await.map_err(unreachable)?;
         let status = response.status().as_u16();
         if status != 200 {
--- a/components/wire/src/codec.rs
+++ b/components/wire/src/codec.rs
@@ -6,14 +6,13 @@
 
 use crate::Frame;
 
-/// The largest frame, in bytes: the largest request body and room for its head.
+/// Room for the largest request body and its head.
 pub const MAX_FRAME_BYTES: usize = 2 * 1024 * 1024;
 
-/// The length prefix, in bytes.
-const PREFIX: usize = 4;
+const PREFIX_BYTES: usize = 4;
 
-/// The room first taken for a frame, in bytes; most frames carry one token.
-const FRAME_ROOM: usize = 256;
+/// Enough for most frames, which carry one token.
+const INITIAL_CAPACITY: usize = 256;
 
 /// A frame that can't be written or read.
 #[derive(Debug, Snafu)]
@@ -28,25 +27,25 @@
     /// The bytes are not a frame.
     #[snafu(display("the bytes are not a frame"))]
     Decode {
-        /// What `bincode` says.
+        /// The decoder's error.
         source: bincode::error::DecodeError,
     },
     /// The frame can't be encoded.
     #[snafu(display("the frame can't be encoded"))]
     Encode {
-        /// What `bincode` says.
+        /// The encoder's error.
         source: bincode::error::EncodeError,
     },
     /// The bytes can't be decompressed.
     #[snafu(display("the bytes can't be decompressed: {reason}"))]
     Compression {
-        /// What the library says.
+        /// The decompressor's error.
         reason: String,
     },
     /// Bytes are left over after a frame.
     #[snafu(display("{left} bytes are left over after the frame"))]
     Trailing {
-        /// How many.
+        /// The number of bytes.
         left: usize,
     },
 }
@@ -55,57 +54,57 @@
     bincode::config::standard().with_limit::<MAX_FRAME_BYTES>()
 }
 
-/// The frame with its length prefix.
+/// Encodes a frame with its length prefix.
 ///
 /// # Errors
 ///
-/// A frame above [`MAX_FRAME_BYTES`] is refused.
+/// The frame is longer than [`MAX_FRAME_BYTES`] or can't be encoded.
 pub fn encode(frame: &Frame) -> Result<Bytes, Error> {
-    let mut buffer = BytesMut::with_capacity(FRAME_ROOM);
+    let mut buffer = BytesMut::with_capacity(INITIAL_CAPACITY);
     buffer.put_u32(0);
     let mut writer = buffer.writer();
     bincode::serde::encode_into_std_write(frame, &mut writer, config()).context(EncodeSnafu)?;
     let mut buffer = writer.into_inner();
-    let length = buffer.len() - PREFIX;
+    let length = buffer.len() - PREFIX_BYTES;
     ensure!(length <= MAX_FRAME_BYTES, TooLongSnafu { length });
     let prefix = u32::try_from(length).unwrap_or(u32::MAX);
-    buffer[..PREFIX].copy_from_slice(&prefix.to_be_bytes());
+    buffer[..PREFIX_BYTES].copy_from_slice(&prefix.to_be_bytes());
     Ok(buffer.freeze())
 }
 
-/// Cuts a byte stream into frames; holds one unfinished frame at most.
+/// Splits a byte stream into frames.
 #[derive(Debug, Default)]
 pub struct Reader {
     buffer: BytesMut,
 }
 
 impl Reader {
-    /// Adds bytes as they came.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether bytes of an unfinished frame are held.
+    /// Whether the buffer holds bytes of an incomplete frame.
     pub fn is_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// The next whole frame, or `None` when more bytes are needed.
+    /// Decodes the next frame, or returns `None` if more bytes are needed.
     ///
     /// # Errors
     ///
-    /// An oversized or unreadable frame; the stream is of no use after it.
+    /// The frame is too long or can't be decoded; the rest of the stream can't be read either.
     pub fn frame(&mut self) -> Result<Option<Frame>, Error> {
-        if self.buffer.len() < PREFIX {
+        if self.buffer.len() < PREFIX_BYTES {
             return Ok(None);
         }
-        let mut prefix = &self.buffer[..PREFIX];
+        let mut prefix = &self.buffer[..PREFIX_BYTES];
         let length = prefix.get_u32() as usize;
         ensure!(length <= MAX_FRAME_BYTES, TooLongSnafu { length });
-        if self.buffer.len() < PREFIX + length {
+        if self.buffer.len() < PREFIX_BYTES + length {
             return Ok(None);
         }
-        self.buffer.advance(PREFIX);
+        self.buffer.advance(PREFIX_BYTES);
         let bytes = self.buffer.split_to(length);
         let (frame, read) =
             bincode::serde::decode_from_slice(&bytes, config()).context(DecodeSnafu)?;
--- a/components/wire/src/demands.rs
+++ b/components/wire/src/demands.rs
@@ -1,17 +1,17 @@
-//! What routers tell each other of a pool that is short.
+//! The demand for a saturated pool.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 use shares::Summary;
 
-/// What is asked of a pool that is short, as one router sees it.
+/// The demand for a saturated pool at one router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Demands {
     /// The router.
     pub router: Arc<str>,
     /// The pool of upstreams.
     pub pool: Arc<str>,
-    /// What it tells.
+    /// The requests for the pool, by workspace and priority.
     pub summary: Summary,
 }
