--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -25,71 +25,71 @@
     Welcome(Welcome),
     /// A whole request.
     Open(Open),
-    /// The request did not run here.
+    /// The request did not run.
     Refused(Refused),
-    /// The request was taken and may run from now on.
+    /// The request was accepted and may run from now on.
     Admitted(Admitted),
     /// The status and headers of the answer.
     Head(Head),
     /// A part of the answer's body.
     Chunk(Chunk),
-    /// The answer is whole.
+    /// The answer is complete.
     End(End),
-    /// The answer will never be whole.
+    /// The answer ended before it was complete.
     Broken(Broken),
-    /// A sidecar's load or its group's, sent to who sums the pool.
+    /// The load of a sidecar or its group, sent to the sidecar that sums up the pool.
     Report(Report),
     /// The sum over the pool, in answer to `Report`.
     Pool(Pool),
-    /// Where a chat's context is now, told to its first upstream in rank.
+    /// The current location of a chat's context, sent to its first upstream in rank.
     DirectoryUpdate(DirectoryUpdate),
-    /// Where parts of prompts are warm, told by one router to the others.
+    /// Between routers: prefixes in the cache of an upstream.
     WarmPrefixes(WarmPrefixes),
-    /// A router's own load at upstreams, told to the others.
+    /// Between routers: the sender's own load at upstreams.
     Loads(Loads),
-    /// What answers told one router of upstreams' loads, told to the others.
+    /// Between routers: loads of upstreams that answers contained.
     Observations(Observations),
-    /// To other routers: how requests ended.
+    /// Between routers: how requests ended.
     Outcomes(Vec<Outcome>),
     /// Between routers: how long requests waited.
     Delays(Vec<Delay>),
-    /// Between routers: an upstream has ended.
+    /// Between routers: an upstream has crashed.
     UpstreamCrash(UpstreamCrash),
-    /// Asks another router what the platform's store holds. It is answered by `Changes`, whose
-    /// facts follow in `Chunk`s, or by `Referral`.
+    /// Queries another router for the content of the platform's store. The answer is `Changes`,
+    /// with its facts in `Chunk`s, or `Referral`.
     Query(Query),
-    /// What has changed in the platform's store, or all that it holds.
+    /// The changes in the platform's store, or all its content.
     Changes(Changes),
-    /// The router that was asked can't tell; others may.
+    /// The queried router can't answer; others may.
     Referral(Referral),
-    /// The first frame of a datagram whose hints are to be passed on to others: how many routers
-    /// have passed on one of them already, at most.
+    /// The first frame of a datagram whose hints are to be forwarded: the largest number of
+    /// routers that have already forwarded one of them.
     Forwarded(u32),
-    /// Between routers: how fast upstreams said that they were.
+    /// Between routers: the pace that upstreams reported.
     Paces(Vec<Pace>),
-    /// Between routers: work that was answered in full, by its hash, and is not why upstreams
-    /// end.
+    /// Between routers: fingerprints of requests that were answered in full, and so are not the
+    /// cause of crashes.
     Cleared(Vec<u64>),
-    /// Between routers: what is asked of a pool that is short.
+    /// Between routers: the demand for a saturated pool.
     Demands(Demands),
-    /// To the owner of a pool that is short: requests that ask for places.
+    /// To the owner of a saturated pool: requests that need permits.
     Claims(Claims),
-    /// From the owner of a pool that is short: what it decided.
+    /// From the owner of a saturated pool: the answers to claims.
     Verdicts(Verdicts),
-    /// Between routers: a pool is short of places.
+    /// Between routers: a pool is saturated.
     Saturated(Saturated),
 }
 
-/// A question of a router what the platform's store holds.
+/// A query for the content of the platform's store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Query {
-    /// The router that asks, and those that hear from it.
+    /// The router that queries, followed by its subscribers.
     pub routers: Vec<Peer>,
-    /// The revision up to which it knows all; `None` asks for everything.
+    /// The revision that it has read up to; `None` for a full answer.
     pub after: Option<Revision>,
-    /// How old its proof is that it knows the newest configuration, in milliseconds.
+    /// The age of its last confirmation that it has the newest configuration, in milliseconds.
     pub confirmation_age_ms: Option<u64>,
-    /// How long the answer may wait for something new, in milliseconds.
+    /// How long the answer may wait for changes, in milliseconds.
     pub wait_ms: u64,
 }
 
@@ -98,56 +98,57 @@
 pub struct Peer {
     /// Its name.
     pub name: Arc<str>,
-    /// Where it takes hints and questions of other routers, if it does.
+    /// The address for hints and queries, if it accepts them.
     #[serde(default)]
     pub hints: Option<SocketAddr>,
     /// Its failure domain.
     #[serde(default)]
     pub domain: Arc<str>,
-    /// How much it has to spare for others; only the order counts.
+    /// The capacity of its host that it has to spare; only the order counts.
     #[serde(default)]
     pub strength: u32,
 }
 
-/// A place in the history of the platform's store.
+/// A revision of the platform's store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Revision {
-    /// How often the store has come back from an older copy.
+    /// How often the store has been restored from an older copy.
     pub era: u64,
     /// The number of the revision in that era.
     pub number: u64,
 }
 
-/// What another router knows of the platform's store.
+/// The head of an answer to [`Query`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Changes {
-    /// The revision that the facts are of.
+    /// The revision of the facts.
     pub revision: Revision,
-    /// Whether the facts are all there are, not only changes.
+    /// Whether the facts are the whole content, not only changes.
     pub full: bool,
-    /// How long the question waited for this answer, in milliseconds.
+    /// How long the query waited for this answer, in milliseconds.
     pub waited_ms: u64,
-    /// How old the proof is that nothing newer is in force, as the answer begins.
+    /// The age of the last confirmation of the answering router as the answer begins, in
+    /// milliseconds.
     pub confirmation_age_ms: Option<u64>,
 }
 
-/// The router that was asked can't tell.
+/// The queried router can't answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Referral {
-    /// Others that may be asked; none where it has just started itself.
+    /// Routers to query instead; empty if the queried one has just started.
     pub routers: Vec<Peer>,
 }
 
-/// An upstream has ended while it had requests.
+/// An upstream has crashed while it had requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamCrash {
     /// The upstream, by the name of one start.
     pub upstream: Arc<str>,
-    /// The hashes of the work that the requests asked for.
+    /// The fingerprints of the requests.
     pub fingerprints: Vec<u64>,
 }
 
-/// Who connects, and the proof that it may.
+/// Identifies and authenticates the side that connects.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
     /// The link key that all processes of the fleet share.
@@ -156,7 +157,7 @@
     pub name: Arc<str>,
 }
 
-/// Who answers.
+/// Identifies the side that accepts a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Welcome {
     /// The upstream's name.
@@ -165,10 +166,10 @@
     pub status: Status,
 }
 
-/// What a sidecar says of itself with every answer.
+/// The state of a sidecar, sent with every answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// The life that says so; a restart has a higher one.
+    /// Identifies the start of the sidecar; grows with each restart.
     pub incarnation: u64,
     /// The load it carries, in tokens.
     pub load: u64,
@@ -191,20 +192,20 @@
     pub workspace: Arc<str>,
     /// The hash of workspace and chat.
     pub chat: u64,
-    /// Whether this is the chat's first upstream in rank, which knows where the
-    /// chat's context is.
+    /// Whether this is the chat's first upstream in rank, which keeps the
+    /// location of the chat's context.
     pub is_home: bool,
     /// Lower runs earlier.
     pub priority: i32,
     /// The time left until the caller's deadline, in milliseconds.
     pub remaining_ms: u64,
-    /// The load that the request brings, in tokens.
+    /// The load of the request, in tokens.
     pub weight: u64,
-    /// The upstream's life that may run the request; any, if zero.
+    /// The incarnation of the sidecar that may run the request; any, if zero.
     pub incarnation: u64,
     /// The idempotency key of a call that may run once at most.
     pub idempotency_key: Option<Arc<str>>,
-    /// The generation of the configuration that the request was decided under.
+    /// The generation of the configuration that applies to the request.
     pub generation: u64,
     /// The W3C trace context.
     pub traceparent: Option<Arc<str>>,
@@ -212,7 +213,7 @@
     pub method: Arc<str>,
     /// The path and query.
     pub path: Arc<str>,
-    /// The headers that go on to the upstream.
+    /// The headers for the upstream.
     pub headers: Vec<(Arc<str>, Arc<str>)>,
     /// The body.
     pub body: Bytes,
@@ -223,16 +224,16 @@
 pub struct Refused {
     /// The reason; its outcome is `not run` unless the reason is about a key.
     pub kind: Kind,
-    /// When to come back, in milliseconds.
+    /// When to retry, in milliseconds.
     pub retry_after_ms: u64,
-    /// The other upstreams where the chat's context is known to be, the latest
+    /// The other upstreams that are known to have the chat's context, the latest
     /// first.
     pub hints: Vec<Arc<str>>,
     /// The state of the sidecar.
     pub status: Status,
 }
 
-/// A request was taken.
+/// A request was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Admitted {
     /// The state of the sidecar.
@@ -242,29 +243,29 @@
 /// The head of an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// The attempt that this answers.
+    /// The attempt that is answered.
     pub attempt: u32,
     /// The HTTP status.
     pub status: u16,
-    /// The headers that go on to the caller.
+    /// The headers for the caller.
     pub headers: Vec<(Arc<str>, Arc<str>)>,
 }
 
 /// A part of an answer's body.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// The attempt that this answers.
+    /// The attempt that is answered.
     pub attempt: u32,
-    /// The place of this chunk, from 0.
+    /// The position of this chunk, from 0.
     pub sequence: u64,
     /// The bytes.
     pub bytes: Bytes,
 }
 
-/// The end of a whole answer.
+/// The end of a complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct End {
-    /// The attempt that this answers.
+    /// The attempt that is answered.
     pub attempt: u32,
     /// The number of chunks sent.
     pub chunks: u64,
@@ -274,31 +275,31 @@
     pub status: Status,
 }
 
-/// An answer that will never be whole.
+/// The end of an incomplete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Broken {
-    /// The attempt that this answers.
+    /// The attempt that is answered.
     pub attempt: u32,
-    /// What went wrong.
+    /// The reason.
     pub kind: Kind,
 }
 
-/// A sidecar's load.
+/// The load of a sidecar or its group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// The upstream's name.
     pub name: Arc<str>,
-    /// The sidecar's life.
+    /// The sidecar's incarnation.
     pub incarnation: u64,
     /// Its load, or the sum of its group, in tokens.
     pub load: u64,
-    /// How many members the load is of.
+    /// The number of members that the load is of.
     pub members: u32,
     /// Whether it is a sum that a leader of the pool reports.
     pub sum: bool,
 }
 
-/// Where a chat's context is.
+/// The location of a chat's context.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DirectoryUpdate {
     /// The hash of workspace and chat.
@@ -307,35 +308,35 @@
     pub upstream: Arc<str>,
 }
 
-/// Where parts of prompts are warm. It is a hint: one that is lost or wrong costs
-/// a copy or a second reading, no more.
+/// Prefixes in the cache of an upstream. A lost or wrong hint costs a copy or a
+/// repeated prefill at most.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WarmPrefixes {
     /// The upstream.
     pub upstream: Arc<str>,
-    /// The parts, each hashed with all parts before it.
+    /// The hashes of the prefixes.
     pub prefixes: Vec<u64>,
-    /// How far the upstream is.
+    /// Whether they are already cached.
     pub stage: Stage,
 }
 
-/// How far an upstream is with parts of a prompt.
+/// How far an upstream is with the prefixes of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stage {
-    /// It has been sent them, and has none to copy from.
+    /// It computes them; it had no upstream to copy them from.
     Prefilling,
-    /// It has read them.
+    /// It has them in its cache.
     Cached,
 }
 
-/// A router's own load, at each upstream where it has any.
+/// A router's own load at upstreams.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Loads {
     /// The router.
     pub router: Arc<str>,
     /// Whether its configuration is known to be the newest.
     pub current: bool,
-    /// The load at each upstream.
+    /// The load at each upstream where it has any.
     pub upstreams: Vec<Load>,
 }
 
@@ -350,59 +351,59 @@
     pub waiting: u64,
 }
 
-/// What answers told a router of the loads of upstreams.
+/// Loads of upstreams that their answers to a router contained.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observations {
     /// Whether the router's configuration is known to be the newest.
     pub current: bool,
-    /// Each upstream of which an answer told, the latest only.
+    /// The latest load of each upstream that one was received of.
     pub upstreams: Vec<Observation>,
 }
 
-/// How requests of a router ended at an upstream since it was told last.
+/// How a router's requests to an upstream ended since its last report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcome {
     /// The upstream.
     pub upstream: Arc<str>,
-    /// Answers that began well and in time.
+    /// Answers that began in time and without an error.
     pub successes: u32,
-    /// Failures, and what came late or never.
+    /// Errors, and answers that began late or never.
     pub failures: u32,
 }
 
-/// How long requests of a router waited since it was told last.
+/// How long a router's requests waited since its last report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delay {
     /// The pool of upstreams.
     pub pool: Arc<str>,
     /// The priority of the requests.
     pub priority: i32,
-    /// How long they waited beyond what one waits without a queue, in milliseconds, summed.
+    /// The sum of their waiting times beyond that without a queue, in milliseconds.
     pub waited_ms: u32,
-    /// How many requests were before them, summed.
+    /// The sum of the numbers of requests that were queued before them.
     pub queued: u32,
 }
 
-/// What an answer told of an upstream's load.
+/// The load of an upstream as one of its answers contained it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
     /// The upstream.
     pub upstream: Arc<str>,
-    /// Requests that ran and waited there, whoever sent them.
+    /// Running and waiting requests of all routers.
     pub requests: u64,
     /// Those of them whose answers had not begun.
     pub waiting: u64,
-    /// How long ago the answer came, in milliseconds.
+    /// The age of the answer, in milliseconds.
     pub age_ms: u64,
 }
 
-/// How fast an upstream said that it was.
+/// The pace that an upstream reported.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pace {
     /// The upstream.
     pub upstream: Arc<str>,
-    /// How long work took it, as a percentage of the usual time.
+    /// The time that work takes, as a percentage of the usual time.
     pub percent: u32,
-    /// How long ago it said so, in milliseconds.
+    /// The age of the report, in milliseconds.
     pub age_ms: u64,
 }
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -1,7 +1,7 @@
 //! Frames between the processes of the fleet.
 //!
 //! A stream of the link carries length-prefixed [`Frame`]s. This crate is the
-//! only user of `bincode`, so that a successor is a change to one file.
+//! only user of `bincode`.
 
 mod codec;
 mod demands;
--- a/components/wire/src/pack.rs
+++ b/components/wire/src/pack.rs
@@ -1,4 +1,4 @@
-//! Long values of which a frame holds a part: `bincode`, compressed.
+//! Compressed `bincode` for values that are sent in several frames.
 
 use bytes::Bytes;
 use miniz_oxide::deflate::compress_to_vec;
@@ -10,33 +10,32 @@
 use crate::Error;
 use crate::codec::{CompressionSnafu, DecodeSnafu, EncodeSnafu, TrailingSnafu};
 
-/// The fastest compression that the library has. Configurations are text and take a fifth.
-const LEVEL: u8 = 1;
+/// The fastest level, which is enough for configurations, as they are text.
+const COMPRESSION_LEVEL: u8 = 1;
 
-/// The most that a value may take once it is decompressed, in bytes: sixteen configurations of
-/// the largest size.
-const MOST: usize = 64 * 1024 * 1024;
+/// Room for several configurations of the largest size.
+const MAX_UNPACKED_BYTES: usize = 64 * 1024 * 1024;
 
-/// Writes a value.
+/// Encodes and compresses a value.
 ///
 /// # Errors
 ///
-/// A value that can't be encoded.
+/// The value can't be encoded.
 pub fn pack<T: Serialize>(value: &T) -> Result<Bytes, Error> {
     let config = bincode::config::standard();
     let plain = bincode::serde::encode_to_vec(value, config).context(EncodeSnafu)?;
-    Ok(compress_to_vec(&plain, LEVEL).into())
+    Ok(compress_to_vec(&plain, COMPRESSION_LEVEL).into())
 }
 
-/// Reads what [`pack`] wrote.
+/// Decodes a value that [`pack`] encoded.
 ///
 /// # Errors
 ///
-/// Bytes that are something else.
+/// The bytes can't be decompressed or decoded, or are too many.
 pub fn unpack<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Error> {
-    let plain = decompress_to_vec_with_limit(bytes, MOST)
-        .map_err(|it| CompressionSnafu { reason: it.to_string() }.build())?;
-    let config = bincode::config::standard().with_limit::<MOST>();
+    let plain = decompress_to_vec_with_limit(bytes, MAX_UNPACKED_BYTES)
+        .map_err(|error| CompressionSnafu { reason: error.to_string() }.build())?;
+    let config = bincode::config::standard().with_limit::<MAX_UNPACKED_BYTES>();
     let (value, read) = bincode::serde::decode_from_slice(&plain, config).context(DecodeSnafu)?;
     ensure!(read == plain.len(), TrailingSnafu { left: plain.len() - read });
     Ok(value)
--- a/components/wire/src/permits.rs
+++ b/components/wire/src/permits.rs
@@ -1,72 +1,72 @@
-//! What routers tell each other while a pool is short of places.
+//! Requests for permits of a saturated pool, and the answers of the pool's owner.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// What a router asks of the owner of a pool, and tells it.
+/// A router's message to the owner of a pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claims {
     /// The pool.
     pub pool: Arc<str>,
-    /// The router that asks.
+    /// The sending router.
     pub router: Arc<str>,
-    /// Requests that ask for a place.
+    /// Requests that need a permit.
     pub claims: Vec<Claim>,
-    /// Permits that are given back, and asks that are taken back.
+    /// Returned permits and withdrawn claims.
     pub releases: Vec<Release>,
-    /// Permits that are held.
+    /// The permits that the router holds.
     pub held: Vec<Held>,
 }
 
-/// One request that asks for a place.
+/// One request that needs a permit.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The router's number for it, never used twice; the permit has the same.
+    /// The number that the router gave the claim, and its permit; never reused.
     pub number: u64,
     /// The workspace.
     pub workspace: Arc<str>,
-    /// The hash of the work, by which a caller that comes back is known.
+    /// The hash of the work, which identifies a caller that retries.
     pub fingerprint: u64,
-    /// Lower goes first.
+    /// Lower values are served first.
     pub urgency: i32,
-    /// Whether it may be repeated.
+    /// Whether the request may be repeated.
     pub repeatable: bool,
-    /// The time to an answer that callers hope for, in milliseconds.
+    /// The target for the time to an answer, in milliseconds.
     pub objective_ms: u32,
-    /// How long it has been at the router, in milliseconds.
+    /// How long the request has been at the router, in milliseconds.
     pub age_ms: u32,
-    /// The upstreams that it has been to.
+    /// The upstreams that it has already been sent to.
     pub avoid: Vec<Arc<str>>,
 }
 
-/// A permit that is given back, or an ask that is taken back.
+/// A returned permit or a withdrawn claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Release {
-    /// Its number.
+    /// The number of the claim.
     pub number: u64,
-    /// Where it led; empty if it is not known to be granted.
+    /// The upstream of the permit; empty if none is known to be granted.
     pub upstream: Arc<str>,
-    /// What became of it.
+    /// How the permit was used.
     pub end: Finish,
-    /// How long the upstream had it, in milliseconds.
+    /// How long the upstream had the request, in milliseconds.
     pub took_ms: u32,
 }
 
-/// What became of a permit.
+/// How a permit was used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Finish {
     /// The upstream answered.
     Answered,
-    /// The upstream had no room.
+    /// The upstream had no free slot.
     Full,
-    /// The upstream failed, or could not be reached.
+    /// The upstream failed or could not be reached.
     Failed,
-    /// It says nothing of the upstream: nothing was sent, or its caller left.
+    /// The request was not sent, or its caller cancelled it.
     Unused,
 }
 
-/// Permits that a router holds at one upstream.
+/// The permits that a router holds at one upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
     /// The upstream.
@@ -75,36 +75,36 @@
     pub numbers: Vec<u64>,
 }
 
-/// What the owner of a pool has decided.
+/// The answer of a pool's owner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Verdicts {
     /// The pool.
     pub pool: Arc<str>,
-    /// One for each request.
+    /// One verdict for each claim.
     pub verdicts: Vec<Verdict>,
 }
 
-/// What is decided on one request.
+/// The answer to one claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Verdict {
-    /// The router's number for it.
+    /// The number of the claim.
     pub number: u64,
-    /// The decision.
+    /// The new state of the claim.
     pub state: ClaimState,
 }
 
-/// A decision on a request that asks for a place.
+/// The state of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimState {
-    /// It may be sent to this upstream.
+    /// The request may be sent to this upstream.
     Granted(Arc<str>),
-    /// It is not to be sent; its caller may come back in so many milliseconds.
+    /// The request is refused; the caller may retry after so many milliseconds.
     Refused(u32),
-    /// It waits at the owner.
+    /// The claim waits at the owner.
     Queued,
 }
 
-/// A pool is short of places: routers ask its owner before they send.
+/// A pool is saturated: routers need permits of its owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Saturated {
     /// The pool.
@@ -113,6 +113,6 @@
     pub owner: Arc<str>,
     /// How many requests the pool answers in 1,000 s.
     pub rate: u32,
-    /// For how long this counts, in milliseconds; zero once the pool is short no more.
+    /// How long this is valid, in milliseconds; zero ends the saturation.
     pub ttl_ms: u32,
 }
--- a/components/wire/tests/codec.rs
+++ b/components/wire/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Frames survive the codec, however the bytes are cut; garbage does no harm.
+//! Frames are decoded as they were encoded, for any chunks of the stream; other bytes are refused.
 
 use bytes::Bytes;
 use clock::Millis;
@@ -11,7 +11,6 @@
     encode,
 };
 
-/// The seed of the cases, so that every run is the same.
 const SEED: u64 = 20_261_202;
 
 fn config() -> Config {
@@ -39,23 +38,17 @@
     })
 }
 
-fn demands(at: u64, lines: Vec<(u64, i32, u32, u32)>) -> Demands {
-    let line = |(workspace, priority, asked, served)| Demand {
+fn demands(at: u64, demands: Vec<(u64, i32, u32, u32)>) -> Demands {
+    let demand = |(workspace, priority, requested, served)| Demand {
         workspace,
         priority,
-        requested: asked,
+        requested,
         served,
     };
-    let lines = lines.into_iter().map(line).collect();
-    let rest = Remainder { workspaces: 3, requested: 70, served: 20 };
-    let word = Summary {
-        at: Millis(at),
-        saturated: true,
-        starving: false,
-        demands: lines,
-        remainder: rest,
-    };
-    Demands { router: "front-1".into(), pool: "engine".into(), summary: word }
+    let demands = demands.into_iter().map(demand).collect();
+    let remainder = Remainder { workspaces: 3, requested: 70, served: 20 };
+    let summary = Summary { at: Millis(at), saturated: true, starving: false, demands, remainder };
+    Demands { router: "front-1".into(), pool: "engine".into(), summary }
 }
 
 fn frames() -> impl Strategy<Value = Frame> {
@@ -69,8 +62,8 @@
             Frame::End(End { attempt, chunks, bytes, status: Status::default() })
         }),
         (any::<String>(), prop::collection::vec(any::<u64>(), 0..101), any::<bool>()).prop_map(
-            |(upstream, prefixes, read)| {
-                let stage = if read { Stage::Cached } else { Stage::Prefilling };
+            |(upstream, prefixes, is_cached)| {
+                let stage = if is_cached { Stage::Cached } else { Stage::Prefilling };
                 Frame::WarmPrefixes(WarmPrefixes { upstream: upstream.into(), prefixes, stage })
             }
         ),
@@ -87,11 +80,12 @@
             }
         ),
         (any::<bool>(), prop::collection::vec(any::<(String, u64, u64, u64)>(), 0..40)).prop_map(
-            |(current, told)| {
-                let told = told.into_iter().map(|(upstream, requests, waiting, age_ms)| {
-                    Observation { upstream: upstream.into(), requests, waiting, age_ms }
-                });
-                Frame::Observations(Observations { current, upstreams: told.collect() })
+            |(current, observations)| {
+                let observations =
+                    observations.into_iter().map(|(upstream, requests, waiting, age_ms)| {
+                        Observation { upstream: upstream.into(), requests, waiting, age_ms }
+                    });
+                Frame::Observations(Observations { current, upstreams: observations.collect() })
             }
         ),
         prop::collection::vec(any::<(String, i32, u32, u32)>(), 0..40).prop_map(|delays| {
@@ -104,7 +98,7 @@
             Frame::Delays(delays.into_iter().map(delay).collect())
         }),
         (any::<u64>(), prop::collection::vec(any::<(u64, i32, u32, u32)>(), 0..40))
-            .prop_map(|(at, lines)| Frame::Demands(demands(at, lines))),
+            .prop_map(|(at, entries)| Frame::Demands(demands(at, entries))),
         (any::<String>(), prop::collection::vec(any::<u64>(), 0..40)).prop_map(
             |(upstream, fingerprints)| Frame::UpstreamCrash(UpstreamCrash {
                 upstream: upstream.into(),
@@ -144,7 +138,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn frames_come_out_as_they_went_in(
+    fn decodes_frames_from_any_chunks(
         frames in prop::collection::vec(frames(), 1..8),
         cut in 1..64_usize,
     ) {
@@ -165,7 +159,7 @@
     }
 
     #[test]
-    fn garbage_is_refused_or_waited_for(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn invalid_bytes_are_refused_or_incomplete(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut reader = Reader::default();
         reader.push(&bytes);
         while let Ok(Some(_)) = reader.frame() {}
@@ -173,25 +167,25 @@
 }
 
 #[test]
-fn an_oversized_length_is_refused_before_its_bytes_come() {
+fn refuses_an_oversized_length_before_its_bytes_arrive() {
     let mut reader = Reader::default();
     reader.push(&u32::MAX.to_be_bytes());
     assert!(matches!(reader.frame(), Err(Error::TooLong { .. })));
 }
 
 #[test]
-fn an_oversized_frame_is_not_written() {
+fn refuses_to_encode_an_oversized_frame() {
     assert!(encode(&open(vec![0; MAX_FRAME_BYTES + 1], None)).is_err());
 }
 
-/// What a datagram between routers may have, in bytes.
-const DATAGRAM: usize = 1_200;
+/// The largest datagram between routers that fits one packet.
+const MAX_DATAGRAM_BYTES: usize = 1_200;
 
 #[test]
-fn the_longest_word_on_a_pool_fits_one_datagram() {
+fn the_longest_demand_report_fits_one_datagram() {
     let demands = demands(u64::MAX, vec![(u64::MAX, i32::MIN, u32::MAX, u32::MAX); MAX_DEMANDS]);
     let name: std::sync::Arc<str> = "n".repeat(128).into();
     let demands = Demands { router: name.clone(), pool: name, ..demands };
     let bytes = encode(&Frame::Demands(demands)).expect("it fits");
-    assert!(bytes.len() <= DATAGRAM, "{}", bytes.len());
+    assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
 }
