--- a/components/admission/tests/stateful.rs
+++ b/components/admission/tests/stateful.rs
@@ -401,5 +401,5 @@
     })]
 
     #[test]
-    fn bound_slots_keys_and_refusals_hold_in_any_sequence(sequential 1..200 => Model);
+    fn calls_run_at_most_once_within_the_slots_and_the_bound(sequential 1..200 => Model);
 }
--- a/components/permits/src/lib.rs
+++ b/components/permits/src/lib.rs
@@ -6,7 +6,7 @@
 //! orders waiting requests in a [`Queue`] and spreads the retries of refused callers over time
 //! ([`Retries`]). Each router requests permits through a [`Requester`].
 //!
-//! All of it is plain state: messages and the time in, messages and decisions out.
+//! The crate does no I/O: messages and the current time go in, messages and decisions come out.
 
 mod decision;
 mod issuer;
--- a/components/permits/src/limit.rs
+++ b/components/permits/src/limit.rs
@@ -30,11 +30,11 @@
 /// The part of an objective that requests may queue at the upstream.
 const QUEUE_RATIO: f64 = 0.4;
 
-/// The longest back-off after a failure, in milliseconds, and the first one.
+/// The longest and the first backoff after a failure, in milliseconds.
 const MAX_BACKOFF_MS: u64 = 4_000;
 const INITIAL_BACKOFF_MS: u64 = 250;
 
-/// The most doublings of the back-off.
+/// How many times the backoff may double.
 const MAX_DOUBLINGS: u32 = 5;
 
 /// How many requests one upstream may have in flight.
@@ -44,11 +44,11 @@
     listed: bool,
     /// The requests that the upstream is estimated to process at a time.
     concurrency: f64,
-    /// How long answers take, in milliseconds; none before the first.
+    /// Mean time to an answer, in milliseconds; `None` before the first.
     latency: Option<f64>,
     /// The lowest value of `latency`.
     min_latency: f64,
-    /// How long a permit is held, in milliseconds.
+    /// Mean time that a permit is held, in milliseconds.
     held: Option<f64>,
     /// When the limit was last lowered for a refusal.
     lowered: Millis,
@@ -59,7 +59,7 @@
 }
 
 impl Limit {
-    /// An upstream that lists so many slots; zero if it lists none.
+    /// Creates the limit of an upstream that lists `slots`, zero if it lists none.
     pub fn new(slots: u64) -> Self {
         #[expect(clippy::cast_precision_loss, reason = "slots are few")]
         let listed = slots as f64;
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Whether this is the limit of an upstream that lists so many slots.
+    /// Whether this is the limit of an upstream that lists `slots`.
     pub(crate) fn is_for(&self, slots: u64) -> bool {
         #[expect(clippy::cast_precision_loss, reason = "slots are few")]
         let listed = slots as f64;
@@ -127,7 +127,7 @@
         self.concurrency = (self.concurrency.min(in_flight) * REFUSAL_FACTOR).max(min);
     }
 
-    /// The upstream failed or could not be reached.
+    /// Records that the upstream failed or was unreachable.
     pub fn record_failure(&mut self, now: Millis) {
         if self.backoff_until > now {
             return;
@@ -161,7 +161,7 @@
         self.concurrency / self.latency_ms().max(1.0)
     }
 
-    /// How long an answer takes, in milliseconds.
+    /// The mean time to an answer, in milliseconds.
     pub fn latency_ms(&self) -> f64 {
         self.latency.unwrap_or(60.0)
     }
