--- a/components/fleet/src/referrals.rs
+++ b/components/fleet/src/referrals.rs
@@ -12,7 +12,7 @@
 /// How many candidates of a referral may fail before the referring routers are queried again.
 const MAX_FAILURES: usize = 2;
 
-/// By how much the backoff grows with each failed referral.
+/// By how much the backoff grows with each retry.
 const BACKOFF_STEP: Millis = Millis(300);
 
 /// The routers that referred this one, and its current candidates.
@@ -24,8 +24,8 @@
     candidates: Vec<Peer>,
     /// How many candidates of the latest referral failed.
     failures: usize,
-    /// How many referrals failed since the last useful answer.
-    failed_referrals: u64,
+    /// How often the referring routers were queried again since the last useful answer.
+    retries: u64,
 }
 
 impl Referrals {
@@ -53,11 +53,11 @@
 
     /// Resets the failure counts after a useful answer.
     pub(crate) fn record_success(&mut self) {
-        (self.failures, self.failed_referrals) = (0, 0);
+        (self.failures, self.retries) = (0, 0);
     }
 
     /// Records that a router gave no useful answer. If too many candidates failed, the referring
-    /// routers may be queried again, after a backoff that grows with each failed referral.
+    /// routers may be queried again, after a backoff that grows with each retry.
     pub(crate) fn record_failure(&mut self, name: &str, now: Millis) {
         let before = self.candidates.len();
         self.candidates.retain(|candidate| *candidate.name != *name);
@@ -68,12 +68,12 @@
         if self.failures < MAX_FAILURES && !self.candidates.is_empty() {
             return;
         }
-        let retry_at = now + Millis(BACKOFF_STEP.0 * self.failed_referrals);
+        let retry_at = now + Millis(BACKOFF_STEP.0 * self.retries);
         for until in self.full_until.values_mut() {
             *until = retry_at.min(*until);
         }
         self.candidates.clear();
         self.failures = 0;
-        self.failed_referrals += 1;
+        self.retries += 1;
     }
 }
--- a/components/fleet/tests/sources.rs
+++ b/components/fleet/tests/sources.rs
@@ -156,7 +156,7 @@
                         }
                         Some(_) => router.sources.record_stale(&peer.name, now),
                         None if answer.is_some() => {
-                            router.sources.record_referral(&peer.name, Vec::new(), now)
+                            router.sources.record_referral(&peer.name, Vec::new(), now);
                         }
                         None => router.sources.record_failure(&peer.name, now),
                     }
