--- a/components/edge/src/store.rs
+++ b/components/edge/src/store.rs
@@ -164,9 +164,12 @@
     /// there are many, and the ends of announcements.
     fn catch_up(&self, revision: Revision, wait: Millis) -> BatchFuture<'_>;
 
-    /// Reads the announcements of all routers. With `old`, the answer may be some seconds old and
+    /// Reads the announcements of all routers. With `allow_stale`, the answer may be some seconds old and
     /// is cheaper for the service.
-    fn announcements(&self, old: bool) -> LocalBoxFuture<'_, Result<Vec<Announcement>, Error>>;
+    fn announcements(
+        &self,
+        allow_stale: bool,
+    ) -> LocalBoxFuture<'_, Result<Vec<Announcement>, Error>>;
 
     /// Writes a router's announcement, which is removed with the lease.
     fn announce(
--- a/components/permits/src/issuer.rs
+++ b/components/permits/src/issuer.rs
@@ -233,7 +233,7 @@
             let full = upstream.in_flight >= upstream.limit.permits(self.objective, now);
             match release.end {
                 Finish::Answered => {
-                    upstream.limit.record_answer(Millis(u64::from(release.took_ms)), held, full);
+                    upstream.limit.record_answer(Millis(u64::from(release.elapsed_ms)), held, full);
                 }
                 Finish::Full => {
                     upstream.limit.record_refusal(upstream.in_flight, now);
--- a/components/permits/src/requester.rs
+++ b/components/permits/src/requester.rs
@@ -157,8 +157,8 @@
     }
 
     fn push_release(&mut self, number: u64, upstream: &Arc<str>, end: Finish, took: Millis) {
-        let took_ms = u32::try_from(took.0).unwrap_or(u32::MAX);
-        let release = Release { number, upstream: upstream.clone(), end, took_ms };
+        let elapsed_ms = u32::try_from(took.0).unwrap_or(u32::MAX);
+        let release = Release { number, upstream: upstream.clone(), end, elapsed_ms };
         self.releases.push((release, RELEASE_SENDS));
     }
 
--- a/components/permits/tests/issuer.rs
+++ b/components/permits/tests/issuer.rs
@@ -98,7 +98,7 @@
                 let ends = [Finish::Answered, Finish::Full, Finish::Failed, Finish::Unused];
                 let end = ends[usize::from(*end)];
                 let release =
-                    Release { number: claim.number, upstream: "up-0".into(), end, took_ms: 60 };
+                    Release { number: claim.number, upstream: "up-0".into(), end, elapsed_ms: 60 };
                 self.receive(&Claims { releases: vec![release], ..Self::message(*router) });
             }
             Step::Renew { router } => {
@@ -198,7 +198,7 @@
             let held: Vec<_> = fixture.issuer.grants().map(|grant| grant.1).collect();
             for number in held.into_iter().take(1) {
                 let release = Release {
-                    number, upstream: "up-0".into(), end: Finish::Answered, took_ms: 60,
+                    number, upstream: "up-0".into(), end: Finish::Answered, elapsed_ms: 60,
                 };
                 fixture.receive(&Claims { releases: vec![release], ..Fixture::message(0) });
                 fixture.decide();
--- a/components/wire/src/permits.rs
+++ b/components/wire/src/permits.rs
@@ -50,7 +50,7 @@
     /// How the permit was used.
     pub end: Finish,
     /// How long the upstream had the request, in milliseconds.
-    pub took_ms: u32,
+    pub elapsed_ms: u32,
 }
 
 /// How a permit was used.
