--- a/components/routing/src/admission/estimator.rs
+++ b/components/routing/src/admission/estimator.rs
@@ -1,37 +1,36 @@
-//! How long requests of one priority wait in a pool of upstreams.
+//! Estimates the wait of requests of one priority in a pool.
 //!
-//! Upstreams let the more urgent in first, so that each priority has waits of its own.
+//! Upstreams serve more urgent requests first, so each priority has its own estimate.
 
 use clock::Millis;
 
 use crate::beliefs::outlook::{millis_to_f64, to_f64};
 
-/// How much the latest answer counts in the time that one takes without a queue, if it took
-/// less, and if it took more: prompts that must be read first say little of it.
-const FASTER: f64 = 0.2;
-const SLOWER: f64 = 0.02;
+/// Weights of a new time without a queue in the base time, if it is shorter or longer. Longer ones
+/// count less, as they include the reading of prompts.
+const FALL_WEIGHT: f64 = 0.2;
+const RISE_WEIGHT: f64 = 0.02;
 
-/// After how long a wait counts half, in milliseconds: a few times as long as answers of the
-/// sites take, so that there are some to go by, and short beside a burst of 3 to 6 s.
+/// Half-life of observed waits, in milliseconds: several answers long, but shorter than a burst.
 const HALF_LIFE_MS: f64 = 2_000.0;
 
-/// For how many requests waited for the wait for one counts that was seen before.
-const PRIOR: f64 = 20.0;
+/// Number of requests with which the prior estimate is weighted.
+const PRIOR_REQUESTS: f64 = 20.0;
 
-/// The waits of one priority.
+/// Wait estimator of one priority.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Estimator {
-    /// The shortest objective of its requests, in milliseconds.
+    /// Shortest objective of the requests, in milliseconds.
     objective_ms: Option<u64>,
-    /// How long an answer takes to begin where nothing waits, in milliseconds.
+    /// Time until an answer begins without a queue, in milliseconds.
     base_ms: Option<f64>,
-    /// What was waited beyond that, in milliseconds, and for how many requests; both fade.
-    waited: Waits,
-    at: Millis,
-    /// The wait for one request, in milliseconds, as it was when many had been seen.
-    before_ms: f64,
-    /// The own ones of which other routers have not been told.
-    untold: (u32, u32),
+    /// Observed waits beyond the base time, decaying.
+    observed: Waits,
+    updated_at: Millis,
+    /// Last estimate from enough requests, in milliseconds per queued request.
+    prior_ms: f64,
+    /// Milliseconds and requests not yet reported to other routers.
+    unreported: (u32, u32),
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -41,70 +40,72 @@
 }
 
 impl Estimator {
-    /// Takes the objective of a request.
-    pub(crate) fn expect(&mut self, objective_ms: u64) {
-        let least = self.objective_ms.map_or(objective_ms, |it| it.min(objective_ms));
-        self.objective_ms = Some(least);
+    /// Records the objective of a request.
+    pub(crate) fn record_objective(&mut self, objective_ms: u64) {
+        let min_objective =
+            self.objective_ms.map_or(objective_ms, |shortest| shortest.min(objective_ms));
+        self.objective_ms = Some(min_objective);
     }
 
-    /// The shortest objective, in milliseconds.
     pub(crate) fn objective_ms(&self) -> Option<u64> {
         self.objective_ms
     }
 
-    /// Takes that an answer took `took` to begin with `queued` requests before it.
-    pub(crate) fn began(&mut self, took: Millis, queued: u64, now: Millis) {
+    /// Records that an answer began after `took`, with `queued` requests before it.
+    pub(crate) fn record_start(&mut self, took: Millis, queued: u64, now: Millis) {
         let took = millis_to_f64(took);
         let base = self.base_ms.unwrap_or(took);
         if queued == 0 {
-            let part = if took < base { FASTER } else { SLOWER };
-            self.base_ms = Some(base + part * (took - base));
+            let weight = if took < base { FALL_WEIGHT } else { RISE_WEIGHT };
+            self.base_ms = Some(base + weight * (took - base));
             return;
         }
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
-            reason = "no request waits for weeks"
+            reason = "waits in milliseconds fit into u32"
         )]
         let waited = (took - base).max(0.0) as u32;
         let queued = u32::try_from(queued).unwrap_or(u32::MAX);
-        self.hear(waited, queued, now);
-        self.untold.0 = self.untold.0.saturating_add(waited);
-        self.untold.1 = self.untold.1.saturating_add(queued);
+        self.record_waits(waited, queued, now);
+        self.unreported.0 = self.unreported.0.saturating_add(waited);
+        self.unreported.1 = self.unreported.1.saturating_add(queued);
     }
 
-    /// Takes what was waited, by this router or by another one.
-    pub(crate) fn hear(&mut self, waited_ms: u32, queued: u32, now: Millis) {
-        let known = self.waits(now);
-        self.waited =
-            Waits { ms: known.ms + f64::from(waited_ms), queued: known.queued + f64::from(queued) };
-        self.at = now;
-        if self.waited.queued >= PRIOR {
-            self.before_ms = self.waited.ms / self.waited.queued;
+    /// Records waits observed by this or another router.
+    pub(crate) fn record_waits(&mut self, waited_ms: u32, queued: u32, now: Millis) {
+        let decayed = self.waits(now);
+        self.observed = Waits {
+            ms: decayed.ms + f64::from(waited_ms),
+            queued: decayed.queued + f64::from(queued),
+        };
+        self.updated_at = now;
+        if self.observed.queued >= PRIOR_REQUESTS {
+            self.prior_ms = self.observed.ms / self.observed.queued;
         }
     }
 
-    /// The own waits since this was asked last, in milliseconds and requests; none without
-    /// any.
-    pub(crate) fn tell(&mut self) -> Option<(u32, u32)> {
-        let untold = std::mem::take(&mut self.untold);
-        (untold.1 > 0).then_some(untold)
+    /// Takes the waits not yet reported, in milliseconds and requests.
+    pub(crate) fn take_unreported(&mut self) -> Option<(u32, u32)> {
+        let unreported = std::mem::take(&mut self.unreported);
+        (unreported.1 > 0).then_some(unreported)
     }
 
-    /// How long an answer takes to begin where nothing waits, in milliseconds.
+    /// Time until an answer begins without a queue, in milliseconds.
     pub(crate) fn base_ms(&self) -> f64 {
         self.base_ms.unwrap_or_default()
     }
 
-    /// How long one more request waits for `queued` requests, in milliseconds.
+    /// Estimated wait behind `queued` requests, in milliseconds.
     pub(crate) fn wait_ms(&self, queued: u64, now: Millis) -> f64 {
-        let known = self.waits(now);
-        let each = (known.ms + PRIOR * self.before_ms) / (known.queued + PRIOR);
-        to_f64(queued) * each
+        let decayed = self.waits(now);
+        let per_request_ms =
+            (decayed.ms + PRIOR_REQUESTS * self.prior_ms) / (decayed.queued + PRIOR_REQUESTS);
+        to_f64(queued) * per_request_ms
     }
 
     fn waits(&self, now: Millis) -> Waits {
-        let kept = 0.5_f64.powf(millis_to_f64(self.at.until(now)) / HALF_LIFE_MS);
-        Waits { ms: self.waited.ms * kept, queued: self.waited.queued * kept }
+        let decay = 0.5_f64.powf(millis_to_f64(self.updated_at.until(now)) / HALF_LIFE_MS);
+        Waits { ms: self.observed.ms * decay, queued: self.observed.queued * decay }
     }
 }
--- a/components/routing/src/admission/flow.rs
+++ b/components/routing/src/admission/flow.rs
@@ -1,4 +1,4 @@
-//! What passes through a pool of upstreams, as a router sees it.
+//! Wait estimates and retry bookings of a pool.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,97 +11,93 @@
 use super::retry_after::Bookings;
 use crate::beliefs::outlook::to_f64;
 
-/// The share of an objective within which an answer must be expected to begin. Nine in ten
-/// begin within two and a half times the expected time. At 0.3 requests are refused while
-/// slots are free, at 0.7 as much is served, and later.
-const PART: f64 = 0.5;
+/// Fraction of an objective within which an answer is expected to begin; actual waits vary widely
+/// around the estimate.
+const MAX_WAIT_RATIO: f64 = 0.5;
 
-/// How much less of it a request may wait for each priority that is more urgent, so that
-/// what is less urgent gives way first.
-const GIVES_WAY: f64 = 0.85;
+/// Factor on the limit for each more urgent priority, so that less urgent requests are refused
+/// first.
+const PRIORITY_FACTOR: f64 = 0.85;
 
-/// The share of that for what waits, where answers take longer even without: they are late
-/// in any case then, and what waits says no more of it.
-const LEAST: f64 = 0.5;
+/// Smallest fraction of the limit left for waiting, where the base time takes up most of it.
+const MIN_WAIT_RATIO: f64 = 0.5;
 
-/// What a router has seen pass through a pool of upstreams.
+/// What this router has observed of a pool.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Flow {
-    /// The waits of each priority, the most urgent first.
-    lanes: BTreeMap<i32, Estimator>,
-    returns: Bookings,
+    /// Wait estimators by priority, the most urgent first.
+    estimators: BTreeMap<i32, Estimator>,
+    bookings: Bookings,
 }
 
 impl Flow {
-    /// Takes the objective of a request.
-    pub(crate) fn expect(&mut self, priority: i32, objective_ms: u64) {
-        self.lane(priority).expect(objective_ms);
+    pub(crate) fn record_objective(&mut self, priority: i32, objective_ms: u64) {
+        self.estimator(priority).record_objective(objective_ms);
     }
 
-    /// Takes that an answer took `took` to begin with `queued` requests before it.
+    /// Records that an answer began after `took`, with `queued` requests before it.
     pub(crate) fn record_start(&mut self, priority: i32, took: Millis, queued: u64, now: Millis) {
-        self.lane(priority).began(took, queued, now);
+        self.estimator(priority).record_start(took, queued, now);
     }
 
-    /// Takes that a request has ended.
+    /// Records the end of a request.
     pub(crate) fn record_completion(&mut self, now: Millis) {
-        self.returns.record_completion(now);
+        self.bookings.record_completion(now);
     }
 
-    /// Takes how long requests of another router waited.
+    /// Records waits reported by another router.
     pub(crate) fn record_waits(&mut self, priority: i32, waited_ms: u32, queued: u32, now: Millis) {
-        self.lane(priority).hear(waited_ms, queued, now);
+        self.estimator(priority).record_waits(waited_ms, queued, now);
     }
 
-    /// The own waits since this was asked last, of the pool named `pool`.
+    /// Takes the waits of this router's requests not yet reported.
     pub(crate) fn take_delays(&mut self, pool: &Arc<str>) -> Vec<Delay> {
-        let told = |(priority, lane): (&i32, &mut Estimator)| {
-            let (waited_ms, queued) = lane.tell()?;
+        let delay = |(priority, estimator): (&i32, &mut Estimator)| {
+            let (waited_ms, queued) = estimator.take_unreported()?;
             Some(Delay { pool: pool.clone(), priority: *priority, waited_ms, queued })
         };
-        self.lanes.iter_mut().filter_map(told).collect()
+        self.estimators.iter_mut().filter_map(delay).collect()
     }
 
-    /// What a request is to expect where `queued` answers have not begun.
+    /// Forecast for a request behind `queued` others.
     pub(crate) fn forecast(&self, priority: i32, queued: u64, now: Millis) -> Forecast {
-        let wait_ms = self.lanes.get(&priority).map_or(0.0, |it| it.wait_ms(queued, now));
+        let wait_ms =
+            self.estimators.get(&priority).map_or(0.0, |estimator| estimator.wait_ms(queued, now));
         Forecast { queued, wait_ms }
     }
 
-    /// How long an answer to a request of `priority` takes to begin where nothing waits, in
-    /// milliseconds.
+    /// Time until an answer begins without a queue, in milliseconds.
     pub(crate) fn base_ms(&self, priority: i32) -> f64 {
-        self.lanes.get(&priority).map_or(0.0, Estimator::base_ms)
+        self.estimators.get(&priority).map_or(0.0, Estimator::base_ms)
     }
 
-    /// The longest wait at which a request of `priority` is sent, in milliseconds: by the
-    /// shortest objective of all that are as urgent or more, so that none is turned away for
-    /// one that is less urgent and can wait for longer.
+    /// Longest wait at which a request of `priority` is sent, in milliseconds. Uses the shortest
+    /// objective of all priorities at least as urgent, so that none is refused in favor of a less
+    /// urgent one.
     pub(crate) fn limit_ms(&self, priority: i32) -> Option<f64> {
-        let objectives = |lanes: std::ops::RangeToInclusive<i32>| {
-            self.lanes.range(lanes).filter_map(|(_, lane)| lane.objective_ms())
+        let objectives = |priorities: std::ops::RangeToInclusive<i32>| {
+            self.estimators.range(priorities).filter_map(|(_, estimator)| estimator.objective_ms())
         };
-        let least = objectives(..=priority).min()?;
-        let before = objectives(..=priority).count().saturating_sub(1);
-        let before = i32::try_from(before).unwrap_or(i32::MAX);
-        let all = to_f64(least) * PART * GIVES_WAY.powi(before);
-        Some((all - self.base_ms(priority)).max(all * LEAST))
+        let shortest = objectives(..=priority).min()?;
+        let more_urgent = objectives(..=priority).count().saturating_sub(1);
+        let more_urgent = i32::try_from(more_urgent).unwrap_or(i32::MAX);
+        let max_ms = to_f64(shortest) * MAX_WAIT_RATIO * PRIORITY_FACTOR.powi(more_urgent);
+        Some((max_ms - self.base_ms(priority)).max(max_ms * MIN_WAIT_RATIO))
     }
 
-    /// Books a time to come back, `soonest_ms` from now at the earliest; returns how long it
-    /// is until then, in milliseconds. `times` says how many times the caller's workspace is
-    /// over its share.
-    pub(crate) fn book(&mut self, soonest_ms: f64, times: f64, now: Millis) -> u64 {
+    /// Books a retry time, at least `min_delay_ms` from now, and returns the delay in milliseconds.
+    /// `excess_ratio` is the demand of the caller's workspace relative to its share.
+    pub(crate) fn book(&mut self, min_delay_ms: f64, excess_ratio: f64, now: Millis) -> u64 {
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             reason = "a few seconds, not negative"
         )]
-        let soonest = Millis(soonest_ms as u64);
-        self.returns.book(soonest, times, now).0
+        let min_delay = Millis(min_delay_ms as u64);
+        self.bookings.book(min_delay, excess_ratio, now).0
     }
 
-    fn lane(&mut self, priority: i32) -> &mut Estimator {
-        self.lanes.entry(priority).or_default()
+    fn estimator(&mut self, priority: i32) -> &mut Estimator {
+        self.estimators.entry(priority).or_default()
     }
 }
--- a/components/routing/src/admission/retry_after.rs
+++ b/components/routing/src/admission/retry_after.rs
@@ -1,79 +1,75 @@
-//! When callers are told to come back that were turned away.
+//! Retry times for refused callers.
 
 use clock::Millis;
 
 use crate::beliefs::outlook::millis_to_f64;
 
-/// After how long a completion counts half, in milliseconds.
+/// Half-life of completions, in milliseconds.
 const HALF_LIFE_MS: f64 = 2_000.0;
 
-/// The share of what a pool completes that is booked for callers who come back; the rest is
-/// for those who come for the first time.
-const SHARE: f64 = 0.25;
+/// Fraction of a pool's completion rate that is booked for returning callers; the rest is for new
+/// requests.
+const RETRY_SHARE: f64 = 0.25;
 
-/// The shortest time, in milliseconds, over which completions are taken for a rate.
-const LEAST_AGE_MS: f64 = 100.0;
+/// Shortest time over which a completion rate is measured, in milliseconds.
+const MIN_AGE_MS: f64 = 100.0;
 
-/// The longest that a caller is told to stay away, in milliseconds. Callers of the sites have
-/// 10 to 12 s and honour a third of what is left.
-const LONGEST: Millis = Millis(4_000);
+/// Longest retry time given to a caller.
+const MAX_RETRY_AFTER: Millis = Millis(4_000);
 
-/// The bookings of a router in one pool.
+/// Retry bookings of a router in one pool.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Bookings {
-    /// Completions, fading, as of `at`.
-    completed: f64,
-    at: Millis,
-    /// When the first one was.
-    since: Option<Millis>,
-    /// The time of the latest booking.
-    booked: Millis,
-    /// The same for workspaces that are over their shares.
-    booked_over: Millis,
+    /// Completions, decaying, as of `updated_at`.
+    completions: f64,
+    updated_at: Millis,
+    /// Time of the first completion.
+    first_at: Option<Millis>,
+    /// Time of the latest booking.
+    latest_booking: Millis,
+    /// The same for workspaces over their share.
+    latest_over_share: Millis,
 }
 
 impl Bookings {
-    /// Takes that a request has ended.
+    /// Records the end of a request.
     pub(crate) fn record_completion(&mut self, now: Millis) {
-        self.completed = self.completed(now) + 1.0;
-        self.at = now;
-        self.since.get_or_insert(now);
+        self.completions = self.completions(now) + 1.0;
+        self.updated_at = now;
+        self.first_at.get_or_insert(now);
     }
 
-    /// Books a time to come back, `soonest` from now at the earliest; returns how long it is
-    /// until then.
+    /// Books a retry time, at least `min_delay` from now, and returns the delay.
     ///
-    /// Callers whose workspace is over its share, `times` times, come after all others that are
-    /// booked, and that much further apart.
-    pub(crate) fn book(&mut self, soonest: Millis, times: f64, now: Millis) -> Millis {
-        let latest = now + LONGEST;
-        let earliest = self.booked.max(now + soonest);
-        if times <= 1.0 {
-            self.booked = (earliest + self.gap(now)).min(latest);
-            return now.until(self.booked);
+    /// Callers of workspaces over their share come after all other bookings, with gaps larger by
+    /// `excess_ratio`.
+    pub(crate) fn book(&mut self, min_delay: Millis, excess_ratio: f64, now: Millis) -> Millis {
+        let limit = now + MAX_RETRY_AFTER;
+        let earliest = self.latest_booking.max(now + min_delay);
+        if excess_ratio <= 1.0 {
+            self.latest_booking = (earliest + self.gap(now)).min(limit);
+            return now.until(self.latest_booking);
         }
-        let gap = millis_to_f64(self.gap(now)) * times;
+        let gap = millis_to_f64(self.gap(now)) * excess_ratio;
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             reason = "a few seconds"
         )]
         let gap = Millis(gap as u64);
-        self.booked_over = (earliest.max(self.booked_over) + gap).min(latest);
-        now.until(self.booked_over)
+        self.latest_over_share = (earliest.max(self.latest_over_share) + gap).min(limit);
+        now.until(self.latest_over_share)
     }
 
-    /// How long after one booking the next one is. A router that has not seen a request
-    /// end, as after its start, knows of no rate, and sends callers away for no longer than
-    /// others wait.
+    /// Gap between two bookings; zero before the first completion, when the rate is unknown.
     fn gap(&self, now: Millis) -> Millis {
-        let Some(since) = self.since else {
+        let Some(first_at) = self.first_at else {
             return Millis::ZERO;
         };
-        let age = millis_to_f64(since.until(now)).max(LEAST_AGE_MS);
-        let seen = 1.0 - 0.5_f64.powf(age / HALF_LIFE_MS);
-        let rate = self.completed(now) / seen * std::f64::consts::LN_2 / HALF_LIFE_MS;
-        let gap = (1.0 / (SHARE * rate)).min(millis_to_f64(LONGEST));
+        let age = millis_to_f64(first_at.until(now)).max(MIN_AGE_MS);
+        let weight = 1.0 - 0.5_f64.powf(age / HALF_LIFE_MS);
+        let rate = self.completions(now) / weight * std::f64::consts::LN_2 / HALF_LIFE_MS;
+        let gap = (1.0 / (RETRY_SHARE * rate)).min(millis_to_f64(MAX_RETRY_AFTER));
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
@@ -83,7 +79,7 @@
         Millis(gap)
     }
 
-    fn completed(&self, now: Millis) -> f64 {
-        self.completed * 0.5_f64.powf(millis_to_f64(self.at.until(now)) / HALF_LIFE_MS)
+    fn completions(&self, now: Millis) -> f64 {
+        self.completions * 0.5_f64.powf(millis_to_f64(self.updated_at.until(now)) / HALF_LIFE_MS)
     }
 }
--- a/components/routing/src/admission/shares.rs
+++ b/components/routing/src/admission/shares.rs
@@ -1,5 +1,4 @@
-//! Whose requests are refused first where a pool is short: those of workspaces over their
-//! shares.
+//! In a saturated pool, requests of workspaces over their share are refused first.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,18 +12,17 @@
 use crate::Effect;
 use crate::state::State;
 
-/// The part of the limit on waits from which on a wait is a sign that the pool is short.
-const NEAR: f64 = 0.8;
+/// A shortest wait above this fraction of the limit marks the pool as saturated.
+const SATURATION_RATIO: f64 = 0.8;
 
-/// The part of the limit that is left to a workspace however far it is over its share: where
-/// less is waited for at some upstream, nobody is refused.
-const LEAST: f64 = 0.4;
+/// Smallest fraction of the wait limit left to a workspace over its share.
+const MIN_LIMIT_RATIO: f64 = 0.4;
 
-/// What is asked of each pool.
+/// Demand on all pools.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Shares {
     pools: BTreeMap<Arc<str>, Pool>,
-    /// What workspaces count, by the hash of their names.
+    /// Weights of workspaces, by hash of the name.
     weights: BTreeMap<u64, f64>,
 }
 
@@ -35,7 +33,7 @@
         shares
     }
 
-    /// Takes what workspaces count, by name.
+    /// Sets the weights of workspaces, by name.
     pub(crate) fn set_weights(&mut self, weights: &BTreeMap<Arc<str>, f64>) {
         self.weights = weights.iter().map(|(name, weight)| (hash(name), *weight)).collect();
     }
@@ -44,19 +42,19 @@
         self.pools.entry(name.clone()).or_default()
     }
 
-    /// The part of the limit on waits that a workspace has: all of it unless others lack room
-    /// that are not over their shares.
-    pub(super) fn part(&self, pool: &str, standing: Option<Standing>, now: Millis) -> f64 {
-        if !self.pools.get(pool).is_some_and(|it| it.is_starving(now)) {
+    /// Fraction of the wait limit granted to a workspace: all of it, unless the workspace is over
+    /// its share and others are starving.
+    pub(super) fn limit_ratio(&self, pool: &str, standing: Option<Standing>, now: Millis) -> f64 {
+        if !self.pools.get(pool).is_some_and(|pool| pool.is_starving(now)) {
             return 1.0;
         }
-        match standing.map(|it| it.rank) {
-            Some(Rank::Over(times)) => (1.0 / times).clamp(LEAST, 1.0),
+        match standing.map(|standing| standing.rank) {
+            Some(Rank::Over(excess_ratio)) => (1.0 / excess_ratio).clamp(MIN_LIMIT_RATIO, 1.0),
             Some(Rank::Below | Rank::At) | None => 1.0,
         }
     }
 
-    /// How a workspace stands; none unless the pool is short.
+    /// Standing of a workspace; none unless the pool is saturated.
     fn standing(
         &mut self,
         pool: &str,
@@ -64,17 +62,17 @@
         priority: i32,
         now: Millis,
     ) -> Option<Standing> {
-        let pool = self.pools.get_mut(pool).filter(|it| it.is_saturated(now))?;
+        let pool = self.pools.get_mut(pool).filter(|pool| pool.is_saturated(now))?;
         let weights = &self.weights;
-        let weight = |it: u64| weights.get(&it).copied().unwrap_or(1.0);
+        let weight = |workspace: u64| weights.get(&workspace).copied().unwrap_or(1.0);
         Some(pool.standing(hash(workspace), priority, weight, now))
     }
 }
 
 impl State {
-    /// Notes that a request has come.
-    pub(crate) fn note_asked(&mut self, id: u64, now: Millis) {
-        if !self.shares_out() {
+    /// Records a new request.
+    pub(crate) fn record_demand(&mut self, id: u64, now: Millis) {
+        if !self.enforces_shares() {
             return;
         }
         let Some(request) = self.requests.get(&id) else { return };
@@ -87,9 +85,9 @@
         );
     }
 
-    /// Notes that a request is sent for the first time.
-    pub(crate) fn note_sent(&mut self, id: u64, now: Millis) {
-        if !self.shares_out() {
+    /// Records the first attempt of a request.
+    pub(crate) fn record_first_send(&mut self, id: u64, now: Millis) {
+        if !self.enforces_shares() {
             return;
         }
         let Some(request) = self.requests.get(&id) else { return };
@@ -97,22 +95,22 @@
         pool.record_sent(hash(&request.arrival.workspace), request.priority, now);
     }
 
-    /// Notes that a request is turned away, how its workspace stands, and whether it would be
-    /// late; if not, it gives way.
-    pub(crate) fn note_refused(
+    /// Records a refused request and its workspace's standing; `late` is false if it yields to
+    /// other workspaces.
+    pub(crate) fn record_rejection(
         &mut self,
         id: u64,
         standing: Option<Standing>,
         late: bool,
         now: Millis,
     ) {
-        if !self.shares_out() {
+        if !self.enforces_shares() {
             return;
         }
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.standing = standing;
         let pool = self.shares.pool(&request.pool);
-        if late && standing.is_some_and(|it| it.rank.excess_ratio() <= 1.0) {
+        if late && standing.is_some_and(|standing| standing.rank.excess_ratio() <= 1.0) {
             pool.mark_starving(now);
         }
         if late {
@@ -122,16 +120,16 @@
         }
     }
 
-    /// Takes the part of the limit that the least wait in a pool is.
-    pub(crate) fn watch_room(&mut self, pool: &Arc<str>, part: f64, now: Millis) {
-        if self.shares_out() && part > NEAR {
+    /// Marks the pool as saturated if its shortest wait is close to the limit.
+    pub(crate) fn detect_saturation(&mut self, pool: &Arc<str>, wait_ratio: f64, now: Millis) {
+        if self.enforces_shares() && wait_ratio > SATURATION_RATIO {
             self.shares.pool(pool).mark_saturated(now);
         }
     }
 
-    /// How the workspace of a request stands to its share; none unless the pool is short.
+    /// Standing of the request's workspace; none unless the pool is saturated.
     pub(crate) fn standing(&mut self, id: u64, now: Millis) -> Option<Standing> {
-        if !self.shares_out() {
+        if !self.enforces_shares() {
             return None;
         }
         let request = self.requests.get(&id)?;
@@ -139,76 +137,79 @@
         self.shares.standing(&request.pool, workspace, request.priority, now)
     }
 
-    /// Whether a request that has been sent nowhere gives way though its wait is short: where an
-    /// upstream's queue is empty or too long, waits alone tell workspaces apart little.
-    pub(crate) fn gives_way(&mut self, id: u64, standing: Option<Standing>, now: Millis) -> bool {
-        let Some(request) = self.requests.get(&id).filter(|it| it.tries.is_empty()) else {
+    /// Whether an unsent request yields to other workspaces although its wait is short. Waits alone
+    /// do not separate workspaces where queues are either empty or too long.
+    pub(crate) fn must_yield(&mut self, id: u64, standing: Option<Standing>, now: Millis) -> bool {
+        let Some(request) = self.requests.get(&id).filter(|request| request.tries.is_empty())
+        else {
             return false;
         };
-        let lacking = self.shares.pools.get(&request.pool).is_some_and(|it| it.is_starving(now));
-        let times = self.settings.gives_back;
-        let part = standing.filter(|_| lacking).map_or(1.0, |it| it.admitted_ratio(times));
-        part < 1.0 && !self.rng.random_bool(part)
+        let starving =
+            self.shares.pools.get(&request.pool).is_some_and(|pool| pool.is_starving(now));
+        let ratio = self.settings.gives_back;
+        let admitted =
+            standing.filter(|_| starving).map_or(1.0, |standing| standing.admitted_ratio(ratio));
+        admitted < 1.0 && !self.rng.random_bool(admitted)
     }
 
-    /// The part of the limit on waits that a workspace has.
-    pub(crate) fn share_part(
+    /// Fraction of the wait limit granted to a workspace.
+    pub(crate) fn share_limit_ratio(
         &mut self,
         pool: &str,
         workspace: &str,
         priority: i32,
         now: Millis,
     ) -> f64 {
-        if !self.shares_out() {
+        if !self.enforces_shares() {
             return 1.0;
         }
         let standing = self.shares.standing(pool, workspace, priority, now);
-        self.shares.part(pool, standing, now)
+        self.shares.limit_ratio(pool, standing, now)
     }
 
-    /// Takes what another router tells of a pool that is short.
+    /// Records demand reported by another router.
     pub(crate) fn receive_demands(&mut self, demands: Demands, now: Millis) -> Vec<Effect> {
-        if self.shares_out() {
+        if self.enforces_shares() {
             self.shares.pool(&demands.pool).receive(&demands.router, demands.summary, now);
         }
         Vec::new()
     }
 
-    /// What is asked of the pools that are short, for the others; `router` is this one's name.
+    /// Demand on saturated pools, to publish under this router's name.
     pub fn demands(&self, router: &Arc<str>, now: Millis) -> Vec<Demands> {
-        let told = |(pool, shares): (&Arc<str>, &Pool)| {
+        let demands = |(pool, shares): (&Arc<str>, &Pool)| {
             let word = shares.summarize(now)?;
             Some(Demands { router: router.clone(), pool: pool.clone(), summary: word })
         };
-        self.shares.pools.iter().filter_map(told).collect()
+        self.shares.pools.iter().filter_map(demands).collect()
     }
 
-    /// The largest `most` workspaces of each pool that is short, by name or else by hash, and
-    /// how they stand for all that they ask for.
-    pub fn largest_shares(&self, most: usize, now: Millis) -> Vec<(Arc<str>, Vec<Largest>)> {
-        let workspaces = self.plan.iter().flat_map(|it| &it.document().workspaces);
+    /// The `count` workspaces with the largest demand in each saturated pool, by name or else by
+    /// hash, with their standing.
+    pub fn largest_shares(&self, count: usize, now: Millis) -> Vec<(Arc<str>, Vec<Largest>)> {
+        let workspaces = self.plan.iter().flat_map(|plan| &plan.document().workspaces);
         let names: BTreeMap<u64, &Arc<str>> =
-            workspaces.map(|it| (hash(&it.name), &it.name)).collect();
-        let weight = |it: u64| self.shares.weights.get(&it).copied().unwrap_or(1.0);
-        let short = self.shares.pools.iter().filter(|(_, it)| it.is_saturated(now));
+            workspaces.map(|workspace| (hash(&workspace.name), &workspace.name)).collect();
+        let weight = |workspace: u64| self.shares.weights.get(&workspace).copied().unwrap_or(1.0);
+        let saturated = self.shares.pools.iter().filter(|(_, pool)| pool.is_saturated(now));
         let largest = |pool: &Pool| {
-            let one = |(workspace, standing): (u64, Standing)| {
+            let resolve_name = |(workspace, standing): (u64, Standing)| {
                 let unnamed = || format!("{workspace:016x}").into();
-                let name = names.get(&workspace).map_or_else(unnamed, |it| (*it).clone());
+                let name = names.get(&workspace).map_or_else(unnamed, |name| (*name).clone());
                 (name, standing)
             };
-            pool.largest(most, weight, now).into_iter().map(one).collect()
+            pool.largest(count, weight, now).into_iter().map(resolve_name).collect()
         };
-        short.map(|(name, pool)| (name.clone(), largest(pool))).collect()
+        saturated.map(|(name, pool)| (name.clone(), largest(pool))).collect()
     }
 
-    fn shares_out(&self) -> bool {
+    fn enforces_shares(&self) -> bool {
         let mechanisms = self.settings.mechanisms;
         self.settings.path.monitors_upstreams() && mechanisms.admission && mechanisms.shares
     }
 }
 
-/// A workspace by name, and how it stands.
+/// Workspace name and standing.
 pub type Largest = (Arc<str>, Standing);
 
 fn hash(workspace: &str) -> u64 {
--- a/components/routing/src/effect.rs
+++ b/components/routing/src/effect.rs
@@ -1,4 +1,4 @@
-//! What a router does about what happens to it.
+//! Output effects of the reducer.
 
 use std::sync::Arc;
 
@@ -8,165 +8,165 @@
 
 use crate::{Crash, Decision, Owner};
 
-/// Something to do.
+/// An action for the edge to carry out.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Find the owner of a key in the platform's service, or make `owner` it.
+    /// Look up the owner of a key in the platform's service, or register `owner` if it has none.
+    /// Answered by `KeyBound`.
     BindKey {
-        /// The key, within the workspace.
+        /// The key, unique within the workspace.
         key: Arc<str>,
-        /// The owner if the key has none yet.
+        /// Owner to register.
         owner: Owner,
     },
-    /// Send an attempt; replies to earlier attempts are of no interest now.
+    /// Send an attempt; replies to earlier attempts are ignored from now on.
     Send(Attempt),
-    /// Pass on the head of the answer.
+    /// Send the status and headers to the caller.
     Head(Head),
-    /// Pass on a part of the answer.
+    /// Send a part of the body to the caller.
     Relay(bytes::Bytes),
-    /// The answer is whole.
+    /// Complete the answer to the caller.
     Finish,
-    /// Give the final answer.
+    /// Answer the caller with an error.
     Fail(Answer),
-    /// Cut off an answer that has begun.
+    /// Abort an answer that has begun.
     Abort(Answer),
-    /// Tell the sidecar that the answer is no longer wanted.
+    /// Cancel the current attempt at the sidecar or upstream.
     Cancel,
-    /// Keep a decision for explaining.
+    /// Store a decision for the explain endpoint.
     Record(Arc<Decision>),
-    /// Tell a chat's first upstream in rank where its context is now.
+    /// Update the directory entry of a chat, which the chat's home upstream keeps.
     UpdateDirectory {
-        /// The first upstream in rank.
+        /// The chat's home: its first upstream in rank.
         upstream: Arc<str>,
-        /// The address of its sidecar.
+        /// Address of its sidecar.
         address: Arc<str>,
-        /// What to tell.
+        /// The new entry.
         note: DirectoryUpdate,
     },
-    /// Tell the other routers where parts of prompts are warm.
+    /// Report to the other routers which prefixes an upstream has cached or is reading.
     PublishPrefixes(WarmPrefixes),
-    /// Close the connections to an upstream that wait for a request.
+    /// Close the idle connections to an upstream.
     CloseIdle {
-        /// Its address.
+        /// Address of the upstream.
         address: Arc<str>,
     },
-    /// Wait before the request is sent.
+    /// Delay the request; `WaitElapsed` follows.
     Wait(Millis),
-    /// An upstream is left alone for a while; a line for the log.
+    /// An upstream is suspect and receives no requests for now; for the log.
     Suspect {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: Arc<str>,
-        /// Failures in a row.
+        /// Consecutive failures.
         failures: u32,
-        /// Whether the last connection that was tried could be opened.
+        /// Whether the last connection attempt succeeded.
         reachable: bool,
-        /// Until when it is left alone.
+        /// End of the backoff.
         until: Millis,
     },
-    /// An upstream that was left alone answers again; a line for the log.
+    /// A suspect upstream answers again; for the log.
     Recovered {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: Arc<str>,
     },
-    /// An upstream said that it leaves; a line for the log.
+    /// An upstream announced that it is leaving; for the log.
     Leaving {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: Arc<str>,
     },
-    /// An upstream asked for rest; a line for the log.
+    /// An upstream asked for a pause in requests; for the log.
     Backoff {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: Arc<str>,
-        /// For how long.
+        /// Length of the pause.
         duration: Millis,
     },
-    /// Find out whether an upstream still takes connections, at which a request broke off.
+    /// Check whether an upstream still accepts connections after a request broke off. Answered by
+    /// `Checked`.
     Check {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: Arc<str>,
-        /// Its address.
+        /// Address to connect to.
         address: Arc<str>,
     },
-    /// Tell the other routers, also those that start later, under what work upstreams ended.
+    /// Report crashes to all routers, including those that start later.
     ReportCrashes(Vec<Crash>),
-    /// Tell the other routers, also those that start later, that work was answered in full and is
-    /// not held back.
+    /// Report to all routers, including those that start later, that work was answered in full and
+    /// is not quarantined.
     ReportCleared(Crash),
-    /// Work is held back from now on; a line for the log.
+    /// Work is quarantined; for the log.
     Quarantine {
-        /// The hash of the work.
+        /// Hash of the work.
         fingerprint: u64,
-        /// For how long.
+        /// How long it stays quarantined.
         duration: Millis,
     },
     /// Connect to an upstream's sidecar.
     Connect {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: Arc<str>,
-        /// The address of its sidecar.
+        /// Address of the sidecar.
         address: Arc<str>,
     },
-    /// Ask the owner of a pool that is short for a place; the answer is one of
-    /// `Granted`, `Denied` and `Unanswered`.
+    /// Ask the owner of a saturated pool for a permit. Answered by `Granted`, `Denied` or
+    /// `Unanswered`.
     Claim {
-        /// The pool.
+        /// Name of the pool.
         pool: Arc<str>,
-        /// The request.
+        /// The claim to send.
         claim: Claim,
     },
-    /// Give back a permit, or take back an ask for one.
+    /// Return a permit, or withdraw a claim.
     Release {
-        /// The pool.
+        /// Name of the pool.
         pool: Arc<str>,
-        /// The number of both.
+        /// Number of the claim and its permit.
         number: u64,
-        /// What became of it.
+        /// How the permit was used.
         end: Finish,
-        /// How long the upstream had it.
+        /// How long the attempt took at the upstream.
         elapsed: Millis,
     },
-    /// A pool runs short: tell its owner.
+    /// Tell the pool's owner that the pool is saturated.
     ReportSaturation {
-        /// The pool.
+        /// Name of the pool.
         pool: Arc<str>,
     },
-    /// Nothing is in flight any more.
+    /// No requests are left in flight after a drain.
     Drained,
 }
 
-/// One sending of a request to one sidecar.
+/// One attempt to send a request to an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// The attempt's number, from 1.
+    /// Number of the attempt, from 1.
     pub number: u32,
-    /// Where to.
+    /// Name of the upstream.
     pub upstream: Arc<str>,
-    /// The address of its sidecar.
+    /// Address of its sidecar, or of the upstream itself where it is reached directly.
     pub address: Arc<str>,
-    /// The life of the sidecar that may run it; any, if zero.
+    /// Incarnation that may run the request; zero allows any.
     pub incarnation: u64,
-    /// The load that the request brings, in tokens.
+    /// Load of the request, in tokens.
     pub weight: u64,
-    /// The intent's priority.
+    /// Priority of the intent.
     pub priority: i32,
-    /// The time left.
+    /// Time left until the request's deadline.
     pub remaining: Millis,
-    /// How long a sidecar may take to say anything; of an upstream that is reached
-    /// directly, how long nothing may come at any time.
+    /// Time within which the sidecar must answer; for an upstream reached directly, the longest
+    /// silence at any time.
     pub timeout: Millis,
-    /// The generation it was decided under.
+    /// Generation of the configuration that the decision is based on.
     pub generation: u64,
-    /// The hash of workspace and chat.
+    /// Hash of workspace and chat.
     pub chat: u64,
-    /// Whether the sidecar is asked for where the chat is.
+    /// Whether the sidecar looks up the chat in its directory.
     pub is_home: bool,
-    /// Where the chat's context is known to be warm, if that is another
-    /// upstream: its address.
+    /// Address of another upstream that has the prompt's prefix cached.
     pub copy_from: Option<Arc<str>>,
-    /// Whether the upstream is to go on with an answer that another one began.
+    /// Whether the upstream continues an answer that another one began.
     pub resume: bool,
-    /// Whether it goes on a new connection: an earlier one fell silent, and others that
-    /// are kept may have too.
+    /// Whether to open a new connection, because idle ones may have stopped answering.
     pub new_connection: bool,
 }
 
--- a/components/routing/src/event.rs
+++ b/components/routing/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a router.
+//! Input events of the reducer.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,240 +13,239 @@
 
 use crate::{Crash, Liveness, Settings};
 
-/// Something that happened.
+/// An input to [`State::apply`](crate::State::apply).
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A caller sent a whole request.
+    /// A complete request arrived from a caller.
     Arrival(Arrival),
-    /// The owner of an idempotency key was looked up.
+    /// The owner of an idempotency key was resolved.
     KeyBound {
-        /// The request.
+        /// Internal id of the request.
         id: u64,
-        /// The owner; `None` if it could not be looked up.
+        /// The owner; `None` if it could not be determined.
         owner: Option<Owner>,
     },
-    /// A frame came in answer to an attempt.
+    /// A frame arrived in answer to an attempt.
     Reply {
-        /// The request.
+        /// Internal id of the request.
         id: u64,
-        /// The attempt that was sent.
+        /// Number of the attempt, from 1.
         attempt: u32,
-        /// The frame.
+        /// The decoded frame.
         reply: Reply,
     },
-    /// The stream of an attempt ended before its last frame.
+    /// The connection of an attempt failed before the last frame.
     ConnectionFailed {
-        /// The request.
+        /// Internal id of the request.
         id: u64,
-        /// The attempt that was sent.
+        /// Number of the attempt, from 1.
         attempt: u32,
-        /// Whether any byte of the request may have reached the sidecar.
+        /// Whether any byte of the request may have reached the sidecar or upstream.
         sent: bool,
     },
-    /// Nothing has come for the attempt's timeout.
+    /// Nothing was received within the attempt's timeout.
     Stalled {
-        /// The request.
+        /// Internal id of the request.
         id: u64,
-        /// The attempt that was sent.
+        /// Number of the attempt, from 1.
         attempt: u32,
     },
-    /// The caller went away.
+    /// The caller closed its connection.
     Cancel {
-        /// The request.
+        /// Internal id of the request.
         id: u64,
     },
     /// The request's deadline passed.
     Expire {
-        /// The request.
+        /// Internal id of the request.
         id: u64,
     },
-    /// The platform's list of hosts came.
+    /// A new list of hosts from the platform; replaces the previous one.
     Hosts(Vec<Host>),
-    /// Time passed: missing connections are opened.
+    /// Periodic timer: opens missing connections to sidecars.
     Tick,
-    /// A connection to an upstream's sidecar stands.
+    /// A connection to an upstream's sidecar was established.
     Connected(Welcome),
-    /// The connection to an upstream's sidecar still stands.
+    /// The connection to an upstream's sidecar is still open.
     Alive {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: Arc<str>,
     },
     /// An upstream's sidecar can't be reached.
     Unreachable {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: Arc<str>,
     },
     /// The operator changed the settings.
     Settings(Box<Settings>),
-    /// A configuration came.
+    /// A new configuration.
     Configure(Arc<Plan>),
-    /// The configuration in force was the newest at `at`.
+    /// The current configuration was confirmed to be the newest.
     ConfigurationConfirmed {
-        /// When it was known to be.
+        /// The time at which it was the newest.
         at: Millis,
     },
-    /// So many routers were counted, this one included.
+    /// Number of routers in the fleet, including this one.
     RouterCount(usize),
-    /// These routers have announced themselves.
+    /// The routers that have announced themselves.
     Members {
-        /// This router.
+        /// Name of this router.
         own: Arc<str>,
-        /// All that are announced.
+        /// Names of all announced routers.
         announced: BTreeSet<Arc<str>>,
     },
-    /// These failure domains are to take nothing; all others may take work.
+    /// The evacuated failure domains, which receive no requests; replaces the previous set.
     Evacuated(BTreeSet<Arc<str>>),
-    /// An upstream is cold: it bears few requests.
+    /// An upstream has just started and takes few requests.
     Cold {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: Arc<str>,
-        /// For how much longer.
+        /// How much longer it counts as cold.
         remaining: Millis,
     },
-    /// The owner of a pool that is short has granted a request a place.
+    /// The pool owner granted a permit for a slot.
     Granted {
-        /// The request.
+        /// Internal id of the request.
         id: u64,
-        /// The number under which it asked.
+        /// Number of the claim.
         number: u64,
-        /// The upstream.
+        /// Upstream that the permit is for.
         upstream: Arc<str>,
     },
-    /// The owner has refused a request.
+    /// The pool owner refused a permit.
     Denied {
-        /// The request.
+        /// Internal id of the request.
         id: u64,
-        /// The number under which it asked.
+        /// Number of the claim.
         number: u64,
-        /// When its caller may come back, in milliseconds.
+        /// Time after which the caller may retry, in milliseconds.
         after_ms: u64,
     },
-    /// The owner says nothing, and this router's own part has room for a request.
+    /// The pool owner did not answer, and the request fits this router's local quota.
     Unanswered {
-        /// The request.
+        /// Internal id of the request.
         id: u64,
-        /// The number under which it asked.
+        /// Number of the claim.
         number: u64,
     },
-    /// A pool is short of places.
+    /// A pool is saturated: requests to it need a permit.
     Saturated {
-        /// The pool.
+        /// Name of the pool.
         pool: Arc<str>,
-        /// For how long, unless it is told again; zero once it is short no more.
+        /// How long this holds unless it is renewed; zero ends it.
         duration: Millis,
     },
-    /// An upstream said with an answer that it leaves.
+    /// An upstream announced in an answer that it is leaving.
     Leaving {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: Arc<str>,
     },
-    /// An upstream asked with an answer to be sent nothing for a while.
+    /// An upstream asked in an answer for a pause in requests.
     Backoff {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: Arc<str>,
-        /// For how long.
+        /// Length of the pause.
         duration: Millis,
     },
-    /// An upstream told its load with an answer.
+    /// An upstream reported its load in an answer.
     Load {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: Arc<str>,
-        /// Requests that run and wait there.
+        /// Requests that run or wait there.
         requests: u64,
-        /// Those of them whose answers have not begun.
+        /// Requests among these whose answers have not begun.
         waiting: u64,
     },
-    /// An upstream told with an answer how fast it is at the moment.
+    /// An upstream reported its current speed in an answer.
     Pace {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: Arc<str>,
-        /// How long work takes it, as a percentage of the usual time.
+        /// Current duration of work, as a percentage of the nominal duration.
         percent: u32,
     },
-    /// Another router told how fast upstreams said that they were.
+    /// Upstream speeds reported by another router.
     Paces(Vec<wire::Pace>),
-    /// Another router told where parts of prompts are warm.
+    /// Prompt prefixes cached or being read at an upstream, reported by another router.
     WarmPrefixes(WarmPrefixes),
-    /// Another router told its own load.
+    /// Another router's own load.
     Loads(Loads),
-    /// Another router told what answers told it of loads.
+    /// Upstream loads that another router saw in answers.
     Observations(Observations),
-    /// Another router told how its requests ended.
+    /// How another router's requests ended.
     Outcomes(Vec<Outcome>),
-    /// Another router told how long its requests waited.
+    /// How long another router's requests waited.
     Delays(Vec<Delay>),
-    /// Another router told what is asked of a pool that is short.
+    /// Demand on a saturated pool, reported by another router.
     Demands(Demands),
-    /// Upstreams have ended while they had requests, as routers have told.
+    /// Crashes of upstreams during requests, reported by routers.
     Crashes(Vec<Crash>),
-    /// An upstream was checked at which a request broke off.
+    /// The liveness check of an upstream whose connection broke has finished.
     Checked {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: Arc<str>,
-        /// What was found.
+        /// Result of the check.
         check: Liveness,
     },
-    /// The pause of a request that waits is over.
+    /// The delay requested with [`Effect::Wait`](crate::Effect::Wait) is over.
     WaitElapsed {
-        /// The request.
+        /// Internal id of the request.
         id: u64,
     },
-    /// The router is to stop.
+    /// The router should stop accepting requests and drain.
     Drain {
-        /// When requests are cut that have not ended.
+        /// Time at which unfinished requests are aborted.
         until: Millis,
     },
 }
 
-/// A whole request.
+/// A complete request from a caller.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The router's own number for the request.
+    /// Id of the request, unique within this router.
     pub id: u64,
-    /// The id that callers and operators see.
+    /// Public request id, shown to callers and operators.
     pub request: Arc<str>,
-    /// The workspace, already authenticated.
+    /// Name of the authenticated workspace.
     pub workspace: Arc<str>,
-    /// The kind of request.
+    /// Kind of the request.
     pub kind: Arc<str>,
-    /// The model, if one is asked for.
+    /// Requested model, if any.
     pub model: Option<Arc<str>>,
-    /// The hash of the work that is asked for: the same for whoever of the workspace asks
-    /// for it again, under whatever id and at whatever router.
+    /// Hash of the requested work: equal for repeated requests of the same workspace, whatever
+    /// their id and router.
     pub fingerprint: u64,
-    /// What keeps a chat together.
+    /// Key of the chat that the request belongs to.
     pub chat: Arc<str>,
-    /// The parts of the prompt that other requests may share, the shortest first.
+    /// Prefixes of the prompt that other requests may share, the shortest first.
     pub prefixes: Vec<Prefix>,
-    /// The idempotency key, if there is one.
+    /// Idempotency key, if any.
     pub idempotency_key: Option<IdempotencyKey>,
-    /// The load that the request brings, in tokens.
+    /// Load of the request, in tokens.
     pub weight: u64,
-    /// The time the caller gives it, if less than the intent's.
+    /// Time limit set by the caller, if any; it can only shorten the intent's.
     pub deadline: Option<Millis>,
 }
 
-/// The start of a prompt that other requests may share.
+/// The start of a prompt that several requests may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Prefix {
-    /// The hash of the part and all parts before it.
+    /// Hash of all tokens up to the end of the prefix.
     pub hash: u64,
-    /// The length of the part and all parts before it, in tokens.
+    /// Length of the prefix, in tokens.
     pub tokens: u64,
 }
 
 impl Arrival {
-    /// The length of what other requests may share, in tokens.
+    /// Length of the longest prefix, in tokens.
     pub fn prefix_tokens(&self) -> u64 {
-        self.prefixes.last().map_or(0, |it| it.tokens)
+        self.prefixes.last().map_or(0, |prefix| prefix.tokens)
     }
 
-    /// The hashes of the parts that other requests may share.
     pub(crate) fn prefix_hashes(&self) -> Vec<u64> {
-        self.prefixes.iter().map(|it| it.hash).collect()
+        self.prefixes.iter().map(|prefix| prefix.hash).collect()
     }
 
-    /// Whether it is a turn of a chat, which has a context to come back to.
+    /// Whether the request is a turn of a chat, whose context may be cached at an upstream.
     pub fn is_chat(&self) -> bool {
         self.model.is_some() && self.idempotency_key.is_none()
     }
@@ -255,37 +254,37 @@
 /// An idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IdempotencyKey {
-    /// The key, within the workspace.
+    /// The key, unique within the workspace.
     pub key: Arc<str>,
-    /// The owner that the key itself names, if it does.
+    /// The owner encoded in the key, if any.
     pub owner: Option<Owner>,
 }
 
-/// The one place where the calls of a key may run.
+/// The upstream that handles all calls of an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Owner {
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: Arc<str>,
-    /// The life of its sidecar.
+    /// Incarnation of its sidecar.
     pub incarnation: u64,
 }
 
-/// A frame that answers an attempt.
+/// A frame received for an attempt.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// The request did not run there.
+    /// The request was refused and did not run.
     Refused(Refused),
-    /// The request was taken.
+    /// The request was admitted.
     Admitted(Admitted),
-    /// The head of the answer.
+    /// Status and headers of the answer.
     Head(Head),
-    /// A part of the answer.
+    /// A part of the answer's body.
     Chunk(Chunk),
-    /// The answer is whole.
+    /// The answer is complete.
     End(End),
-    /// The answer will not be whole.
+    /// The answer broke off.
     Broken(Broken),
-    /// A frame that may not come here.
+    /// A frame that is not valid in this direction.
     Unexpected,
 }
 
@@ -324,36 +323,34 @@
     }
 }
 
-/// One line of the platform's list of hosts.
+/// An entry of the platform's list of hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// The upstream's name. Where upstreams start again under the name that they had, it is
-    /// another one for each start, so that nothing that is believed of one start, or told of
-    /// it by other routers, is taken for the next.
+    /// Name of the upstream, different for each start, so that state and reports about one start
+    /// are not applied to the next.
     pub name: Arc<str>,
-    /// The name under which it is listed, the same for all its starts; empty where that is
-    /// its name.
+    /// Name of the entry, the same for all starts; empty if equal to `name`.
     #[serde(default)]
     pub entry: Arc<str>,
-    /// Where its sidecar listens.
+    /// Address of its sidecar, or of the upstream itself where it is reached directly.
     pub address: Arc<str>,
-    /// Its failure domain.
+    /// Failure domain.
     pub domain: Arc<str>,
-    /// What the platform says of it.
+    /// Labels reported by the platform.
     pub labels: Labels,
-    /// Whether it is leaving.
+    /// Whether it is shutting down.
     pub leaving: bool,
-    /// How many requests it works on at once; zero where that is not told.
+    /// Number of requests it serves at once; zero if unknown.
     #[serde(default)]
     pub slots: u64,
-    /// When it started, in milliseconds since the Unix epoch; zero where that is not told.
-    /// Only starts of one entry are compared.
+    /// Start time, in milliseconds since the Unix epoch; zero if unknown. Compared only between
+    /// starts of one entry.
     #[serde(default)]
     pub born: u64,
 }
 
 impl Host {
-    /// The name under which it is listed.
+    /// Name of the entry.
     pub fn entry(&self) -> &Arc<str> {
         if self.entry.is_empty() { &self.name } else { &self.entry }
     }
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -1,8 +1,7 @@
-//! The router's reducer: what a router decides, without clocks or sockets.
+//! Reducer that makes a router's decisions, without clocks or sockets.
 //!
-//! [`State::apply`] takes one [`Event`] and the time, and returns [`Effect`]s
-//! for the edge to carry out. The same reducer runs in production, in the
-//! tests and in the capacity measurements.
+//! [`State::apply`] takes an [`Event`] and the current time, and returns [`Effect`]s for the edge
+//! to carry out. Production, tests and capacity experiments use the same reducer.
 
 mod admission;
 mod beliefs;
--- a/components/routing/src/mechanisms.rs
+++ b/components/routing/src/mechanisms.rs
@@ -1,48 +1,48 @@
-//! Which mechanisms of the reducer are in use.
+//! Switches for the reducer's mechanisms.
 
 use serde::{Deserialize, Serialize};
 
-/// Switches for mechanisms, each but `shares` on unless it is switched off: for operators who suspect
-/// one, and for measuring what each is worth. Promises to callers rest on none of them.
-#[expect(clippy::struct_excessive_bools, reason = "each is a switch of its own")]
+/// Mechanisms that can be switched off, to rule one out when diagnosing or to measure its effect.
+/// Guarantees to callers depend on none of them. All but `shares` are on by default.
+#[expect(clippy::struct_excessive_bools, reason = "independent switches")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Mechanisms {
-    /// A request goes where all that it shares is warm, before rank.
+    /// Prefer upstreams that have all shared prefixes cached.
     pub warm_first: bool,
-    /// What an upstream lacks of a prompt is copied from another one.
+    /// Copy missing prefixes from another upstream.
     pub copies: bool,
-    /// Short parts are not copied from an upstream that has failed.
+    /// Do not copy short prefixes from an upstream that has failed.
     pub doubts: bool,
-    /// A request waits a little for a reading that it would repeat.
+    /// Delay a request while its prefix is being read by an earlier one.
     pub waits: bool,
-    /// Routers tell each other where parts of prompts are warm.
+    /// Exchange cached prefixes between routers.
     pub hints: bool,
-    /// Routers go by the loads that the others tell.
+    /// Use loads reported by other routers.
     pub loads: bool,
-    /// A router that starts recalls where parts of prompts were warm.
+    /// Restore cached prefixes at the start of a router.
     pub parts: bool,
-    /// A router that starts recalls the upstreams.
+    /// Restore the upstreams at the start of a router.
     pub upstreams: bool,
-    /// An upstream is passed over that fails more than its pool.
+    /// Exclude upstreams that fail more often than their pool.
     pub health: bool,
-    /// A request leaves an upstream that says nothing.
+    /// Retry requests at another upstream when one is silent.
     pub silence: bool,
-    /// A request may go to another upstream after one has failed.
+    /// Retry requests at another upstream after a failure.
     pub retries: bool,
-    /// A request is refused that would be late wherever it went.
+    /// Refuse requests that would be late at every upstream.
     pub admission: bool,
-    /// Where a pool is short, what is over its workspace's share is refused first.
+    /// In a saturated pool, refuse requests of workspaces over their share first.
     pub shares: bool,
-    /// A router that stops takes what will have ended in time.
+    /// Accept requests while draining if they will end in time.
     pub late_takes: bool,
-    /// Most routers hear from others what the platform's store holds.
+    /// Read the platform's store through other routers.
     pub shared_looks: bool,
-    /// Routers reckon with how fast upstreams say that they are.
+    /// Use the speeds reported by upstreams.
     pub pace: bool,
-    /// Routers deal out the room of upstreams among them while much of a pool takes nothing.
+    /// Allocate the capacity of upstreams among routers while much of a pool is closed.
     pub dealt_room: bool,
-    /// Where a pool is short of places, routers ask its owner for one before they send.
+    /// In a saturated pool, ask the pool's owner for a permit before sending.
     pub places: bool,
 }
 
--- a/components/routing/src/path.rs
+++ b/components/routing/src/path.rs
@@ -1,4 +1,4 @@
-//! How a router reaches its upstreams, and what differs with it.
+//! How a router reaches its upstreams.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,17 +6,17 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Path {
-    /// Through the sidecar on the upstream's host, which has the last word.
+    /// Through the sidecar on the upstream's host, which makes the final admission decision.
     #[default]
     Sidecar,
-    /// Directly: the router knows its own requests and what answers tell.
+    /// Directly: the router knows only its own requests and what answers and other routers report.
     Direct,
 }
 
-/// What differs; each is asked for by its name, so that no other module compares paths.
+/// Differences between paths, as predicates, so that other modules do not compare variants.
 impl Path {
-    /// Whether upstreams' sidecars tell their status. Without them a router counts its own
-    /// requests, goes by what answers and other routers tell, and keeps the bound itself.
+    /// Whether sidecars report the status of upstreams. Otherwise a router counts its own requests,
+    /// uses loads reported in answers and by other routers, and enforces the load bound itself.
     pub(crate) fn has_sidecars(self) -> bool {
         match self {
             Self::Sidecar => true,
@@ -24,43 +24,42 @@
         }
     }
 
-    /// Whether an upstream that is listed counts as connected: no connection to a sidecar has
-    /// to stand first.
+    /// Whether a listed upstream counts as connected without a connection to its sidecar.
     pub(crate) fn trusts_listing(self) -> bool {
         !self.has_sidecars()
     }
 
-    /// Whether one broken connection is forgiven: it says little of an upstream, and much of
-    /// a sidecar, whose connection is kept.
+    /// Whether a single broken connection is tolerated. A broken connection to a sidecar, which is
+    /// long-lived, is a stronger sign of a failure.
     pub(crate) fn tolerates_one_failure(self) -> bool {
         !self.has_sidecars()
     }
 
-    /// Whether routers follow where parts of prompts are warm; sidecars follow whole chats.
+    /// Whether routers track cached prompt prefixes; sidecars track whole chats instead.
     pub(crate) fn tracks_prefixes(self) -> bool {
         !self.has_sidecars()
     }
 
-    /// Whether a request is ranked anew after a failed attempt. Sidecars say themselves who
-    /// leaves, and send a chat back to where it has been.
+    /// Whether candidates are ranked again after a failed attempt. Sidecars report leaving
+    /// upstreams themselves and redirect a chat to its context.
     pub(crate) fn reranks_on_retry(self) -> bool {
         !self.has_sidecars()
     }
 
-    /// Whether a router looks for upstreams that fail in part, say nothing or have been
-    /// replaced, and turns away what would be late; sidecars do so for themselves.
+    /// Whether routers detect failing, silent and replaced upstreams and reject requests that would
+    /// be late; sidecars do so for themselves.
     pub(crate) fn monitors_upstreams(self) -> bool {
         !self.has_sidecars()
     }
 
-    /// Whether calls that are no chats go to the upstream with the least load; with sidecars
-    /// they are ranked, so that a key stays with its owner.
+    /// Whether requests outside chats go to the least loaded upstream. With sidecars they are
+    /// ranked, so that a key stays with its owner.
     pub(crate) fn balances_calls(self) -> bool {
         !self.has_sidecars()
     }
 
-    /// Whether hops after refusals have a budget of their own; else all that is sent again
-    /// counts as a retry, as the platform counts it.
+    /// Whether retries after refusals have a separate budget; otherwise they count as retries, as
+    /// the platform counts them.
     pub(crate) fn has_hop_budget(self) -> bool {
         self.has_sidecars()
     }
--- a/components/routing/src/requests.rs
+++ b/components/routing/src/requests.rs
@@ -1,4 +1,4 @@
-//! A request on its way, from its arrival to its recorded decision.
+//! The life of a request, from arrival to its recorded decision.
 
 pub(crate) mod arrival;
 pub(crate) mod completion;
--- a/components/routing/src/requests/arrival.rs
+++ b/components/routing/src/requests/arrival.rs
@@ -1,4 +1,4 @@
-//! A request comes: which intent decides, and how it begins.
+//! Arrival of a request: which intent applies, and its first attempt.
 
 use std::sync::Arc;
 
@@ -7,75 +7,78 @@
 use intents::{Miss, Plan, Target};
 
 use crate::requests::request::{Permit, Phase, Request};
-use crate::selection::prefixes::patience;
+use crate::selection::prefixes::prefill_deadline;
 use crate::state::State;
 use crate::{Arrival, Effect, Owner};
 
-/// Why a request is refused before anything is decided on it: the error, and what
-/// is said of it beyond its name.
+/// Error kind and detail of a request that is rejected on arrival.
 type Rejection = (Kind, String);
 
 impl Arrival {
-    /// What `plan` decides for the request.
+    /// Target of the request in `plan`.
     pub(crate) fn target<'a>(&self, plan: &'a Plan) -> Result<Target<'a>, Miss> {
         plan.find(&self.workspace, &self.kind, self.model.as_deref())
     }
 }
 
 impl State {
-    /// Takes a request: it is refused at once, or sent to the best upstream.
-    pub(crate) fn handle_arrival(&mut self, ask: Arrival, now: Millis) -> Vec<Effect> {
+    /// Rejects a new request, or sends it to the best upstream.
+    pub(crate) fn handle_arrival(&mut self, arrival: Arrival, now: Millis) -> Vec<Effect> {
         let plan = self.plan.clone();
-        let target = match self.admit(plan.as_deref(), &ask, now) {
+        let target = match self.admit(plan.as_deref(), &arrival, now) {
             Ok(target) => target,
-            Err((kind, detail)) => return self.reject(&ask, kind, &detail, now),
+            Err((kind, detail)) => return self.reject(&arrival, kind, &detail, now),
         };
-        let id = ask.id;
-        let request = self.request(ask, &target, now);
+        let id = arrival.id;
+        let request = self.new_request(arrival, &target, now);
         self.requests.insert(id, request);
         self.rank(id, now);
-        self.note_asked(id, now);
+        self.record_demand(id, now);
         self.budget(id).earn();
         self.hop_budget.earn();
         self.start(id, now)
     }
 
-    /// What `plan` decides for a request that may be served at all.
+    /// Finds the target of a request that may be served.
     fn admit<'a>(
         &self,
         plan: Option<&'a Plan>,
-        ask: &Arrival,
+        arrival: &Arrival,
         now: Millis,
     ) -> Result<Target<'a>, Rejection> {
         let Some(plan) = plan else {
             return Err((Kind::NoConfiguration, String::new()));
         };
-        let target = ask.target(plan).map_err(rejection)?;
-        if !target.repeatable && !target.kind.keyless && ask.idempotency_key.is_none() {
+        let target = arrival.target(plan).map_err(rejection)?;
+        if !target.repeatable && !target.kind.keyless && arrival.idempotency_key.is_none() {
             return Err((Kind::KeyMissing, String::new()));
         }
-        let allowed = Millis(target.intent.deadline_ms);
-        if !self.has_time_for(&ask.kind, ask.deadline.map_or(allowed, |it| it.min(allowed)), now) {
+        let max_duration = Millis(target.intent.deadline_ms);
+        if !self.has_time_for(
+            &arrival.kind,
+            arrival.deadline.map_or(max_duration, |deadline| deadline.min(max_duration)),
+            now,
+        ) {
             return Err((Kind::Draining, String::new()));
         }
         if !target.kind.anonymous && !self.is_confirmed_within(self.settings.current_ms, now) {
             return Err((Kind::StaleConfiguration, String::new()));
         }
-        // Its caller comes again under a new id, at any router: where each decided on it as if it
-        // had never come, one work ended 15 engines in 17 s.
-        if self.quarantine_left(ask.fingerprint, now).is_some() {
+        // Callers resend quarantined work under new ids and to any router.
+        if self.quarantine_left(arrival.fingerprint, now).is_some() {
             return Err((Kind::HeldBack, String::new()));
         }
         Ok(target)
     }
 
-    /// The state of a request that has come and is not ranked yet.
-    fn request(&self, ask: Arrival, target: &Target<'_>, now: Millis) -> Request {
+    /// State of a new request, before ranking.
+    fn new_request(&self, arrival: Arrival, target: &Target<'_>, now: Millis) -> Request {
         let intent = target.intent;
-        let allowed = Millis(intent.deadline_ms);
+        let max_duration = Millis(intent.deadline_ms);
         Request {
-            deadline: now + ask.deadline.map_or(allowed, |it| it.min(allowed)),
-            arrival: ask,
+            deadline: now
+                + arrival.deadline.map_or(max_duration, |deadline| deadline.min(max_duration)),
+            arrival,
             arrived: now,
             proof_ms: self.confirmation_age_ms(now),
             status: None,
@@ -84,7 +87,7 @@
             longest_gap: Millis::ZERO,
             estimate: self.estimate(intent, now),
             objective_ms: intent.objective_ms,
-            wait_until: patience(intent.objective_ms, now),
+            wait_until: prefill_deadline(intent.objective_ms, now),
             phase: Phase::Sent,
             repeatable: target.repeatable,
             resumable: target.kind.resumable,
@@ -105,28 +108,30 @@
         }
     }
 
-    /// The first attempt: at the owner for a call with a key, else at the best
+    /// Starts the first attempt: at the owner if the request has a key, otherwise at the best
     /// candidate.
     fn start(&mut self, id: u64, now: Millis) -> Vec<Effect> {
         let Some(request) = self.requests.get(&id) else {
             return Vec::new();
         };
-        let Some(once) = request.arrival.idempotency_key.clone() else {
+        let Some(key) = request.arrival.idempotency_key.clone() else {
             return self.send_next(id, now);
         };
-        if let Some(owner) = once.owner {
+        if let Some(owner) = key.owner {
             return self.send_to_owner(id, &owner, now);
         }
-        self.bind(id, once.key, now)
+        self.bind_key(id, key.key, now)
     }
 
-    /// Has the best upstream that is known to live made the owner of a fresh key.
-    fn bind(&mut self, id: u64, key: Arc<str>, now: Millis) -> Vec<Effect> {
+    /// Proposes the best connected candidate as the owner of a new key.
+    fn bind_key(&mut self, id: u64, key: Arc<str>, now: Millis) -> Vec<Effect> {
         let Some(request) = self.requests.get_mut(&id) else {
             return Vec::new();
         };
-        let met = |name: &&Arc<str>| self.upstreams.get(*name).is_some_and(|it| it.incarnation > 0);
-        let Some(upstream) = request.candidates.iter().rev().find(met).cloned() else {
+        let is_connected = |name: &&Arc<str>| {
+            self.upstreams.get(*name).is_some_and(|upstream| upstream.incarnation > 0)
+        };
+        let Some(upstream) = request.candidates.iter().rev().find(is_connected).cloned() else {
             return self.fail(id, Kind::KeyUnsettled, 0, "no fitting upstream is available", now);
         };
         request.phase = Phase::Binding;
@@ -135,7 +140,6 @@
     }
 }
 
-/// Why a request is refused that no intent decides.
 fn rejection(miss: Miss) -> Rejection {
     match miss {
         Miss::NoIntent => (Kind::NoIntent, String::new()),
--- a/components/routing/src/requests/completion.rs
+++ b/components/routing/src/requests/completion.rs
@@ -1,4 +1,4 @@
-//! How a request ends: refused, failed, given up or finished.
+//! How requests end: rejected, failed, cancelled or completed.
 
 use std::sync::Arc;
 
@@ -10,22 +10,23 @@
 use crate::{Arrival, Decision, Effect};
 
 impl State {
-    /// Refuses a request on which nothing was decided.
+    /// Rejects a request on arrival.
     pub(crate) fn reject(
         &self,
-        ask: &Arrival,
+        arrival: &Arrival,
         kind: Kind,
         detail: &str,
         now: Millis,
     ) -> Vec<Effect> {
-        let held = self.quarantine_left(ask.fingerprint, now).filter(|_| kind == Kind::HeldBack);
-        let after = held.map_or_else(|| self.retry_after_ms(kind, now), |left| left.0);
+        let quarantine =
+            self.quarantine_left(arrival.fingerprint, now).filter(|_| kind == Kind::HeldBack);
+        let after = quarantine.map_or_else(|| self.retry_after_ms(kind, now), |left| left.0);
         let decision = Decision {
-            request: ask.request.clone(),
-            workspace: ask.workspace.clone(),
-            kind: ask.kind.clone(),
-            content: ask.fingerprint,
-            model: ask.model.clone(),
+            request: arrival.request.clone(),
+            workspace: arrival.workspace.clone(),
+            kind: arrival.kind.clone(),
+            content: arrival.fingerprint,
+            model: arrival.model.clone(),
             intent: None,
             generation: self.generation(),
             proof_ms: self.confirmation_age_ms(now),
@@ -34,7 +35,7 @@
             answered: None,
             pause: Millis::ZERO,
             ended: now,
-            shared: ask.prefixes.last().copied(),
+            shared: arrival.prefixes.last().copied(),
             passed: Vec::new(),
             tries: Vec::new(),
             pool: "".into(),
@@ -43,11 +44,11 @@
             error: Some(kind),
             detail: detail.into(),
         };
-        let answer = Effect::answer(kind, &ask.request, after, detail);
+        let answer = Effect::answer(kind, &arrival.request, after, detail);
         vec![Effect::Fail(answer), Effect::Record(Arc::new(decision))]
     }
 
-    /// The caller has gone away.
+    /// Handles a caller that closed its connection.
     pub(crate) fn cancel(&mut self, id: u64, now: Millis) -> Vec<Effect> {
         let Some(request) = self.requests.get(&id) else {
             return Vec::new();
@@ -62,7 +63,7 @@
         effects
     }
 
-    /// The time of a request is over.
+    /// Handles a request whose deadline passed.
     pub(crate) fn expire(&mut self, id: u64, now: Millis) -> Vec<Effect> {
         let Some(request) = self.requests.get(&id) else {
             return Vec::new();
@@ -77,7 +78,7 @@
         effects
     }
 
-    /// Ends a request and the attempt that is under way.
+    /// Cancels the current attempt and ends the request with an error.
     pub(crate) fn abort(&mut self, id: u64, kind: Kind, now: Millis) -> Vec<Effect> {
         let mut effects = vec![Effect::Cancel];
         effects.extend(self.fail(id, kind, 0, "", now));
@@ -86,8 +87,8 @@
 
     /// Ends the request with an error.
     ///
-    /// An earlier attempt that may have run outweighs a later one that did not:
-    /// the answer is the earlier one's.
+    /// If an earlier attempt may have run and the last one did not, the answer has the earlier
+    /// attempt's error.
     pub(crate) fn fail(
         &mut self,
         id: u64,
@@ -112,7 +113,7 @@
         effects
     }
 
-    /// Takes the request out and records its decision.
+    /// Removes the request and records its decision.
     pub(crate) fn close(
         &mut self,
         id: u64,
@@ -164,20 +165,20 @@
         effects
     }
 
-    /// The current attempt is over: its load is no longer at its upstream. A
-    /// sidecar tells its load itself.
+    /// Releases the load of the current attempt at its upstream. Sidecars report their load
+    /// themselves.
     pub(crate) fn release_load(&mut self, id: u64) {
         if self.settings.path.has_sidecars() {
             return;
         }
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(last) = request.tries.last_mut().filter(|it| !it.is_released) else { return };
+        let Some(last) = request.tries.last_mut().filter(|last| !last.is_released) else { return };
         last.is_released = true;
-        let waits = std::mem::replace(&mut last.is_waiting, false);
+        let was_waiting = std::mem::replace(&mut last.is_waiting, false);
         let weight = request.arrival.weight;
         if let Some(upstream) = self.upstreams.get_mut(&last.upstream) {
             upstream.remove_request(weight);
-            if waits {
+            if was_waiting {
                 upstream.record_answer_start(weight);
             }
         }
--- a/components/routing/src/requests/decision.rs
+++ b/components/routing/src/requests/decision.rs
@@ -1,4 +1,4 @@
-//! What is kept of a request for explaining.
+//! Records of decisions, for the explain endpoint.
 
 use std::sync::Arc;
 
@@ -9,98 +9,96 @@
 
 use crate::Prefix;
 
-/// Why a request went where it went, or did not run.
+/// How a request was routed, or why it did not run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Decision {
-    /// The request's id.
+    /// Public request id.
     pub request: Arc<str>,
-    /// The workspace.
+    /// Workspace of the caller.
     pub workspace: Arc<str>,
-    /// The kind of request.
+    /// Kind of the request.
     pub kind: Arc<str>,
-    /// The hash of the work that was asked for.
+    /// Hash of the requested work.
     pub content: u64,
-    /// The model, if one was asked for.
+    /// Requested model, if any.
     pub model: Option<Arc<str>>,
-    /// The intent that decided, if one did.
+    /// The intent that applied, if any.
     pub intent: Option<Arc<str>>,
-    /// The generation it was decided under.
+    /// Generation of the configuration.
     pub generation: u64,
-    /// How long before the decision that generation was known to be the newest,
-    /// in milliseconds; none where no proof is kept.
+    /// Age of the configuration's confirmation, in milliseconds; none if it was never confirmed.
     pub proof_ms: Option<u64>,
-    /// When the request came.
+    /// When the request arrived.
     pub came: Millis,
-    /// When the head of its answer was passed on.
+    /// When the status and headers were sent to the caller.
     pub answered: Option<Millis>,
-    /// The longest that its caller waited between two parts of the answer.
+    /// Longest gap between two parts of the answer.
     pub pause: Millis,
-    /// When it got its final answer.
+    /// When the request ended.
     pub ended: Millis,
-    /// What it shares with other requests: the longest part, if it shares any.
+    /// The longest shared prefix, if any.
     pub shared: Option<Prefix>,
-    /// The first upstreams that were passed over, and why.
+    /// The best of the excluded upstreams.
     pub passed: Vec<Exclusion>,
     /// The attempts, in order.
     pub tries: Vec<Try>,
-    /// The pool that it was for; empty if none was found.
+    /// Name of the pool; empty if none was found.
     pub pool: Arc<str>,
-    /// How its workspace stood to its share of the pool when it was turned away.
+    /// Standing of the workspace in the pool when the request was refused.
     pub standing: Option<Standing>,
-    /// The HTTP status of the answer that was passed on.
+    /// HTTP status of the answer.
     pub status: Option<u16>,
-    /// What is known about the run.
+    /// Whether the request ran.
     pub outcome: Outcome,
-    /// The error, if there was one.
+    /// The error, if any.
     pub error: Option<Kind>,
-    /// More on the error.
+    /// Details of the error.
     pub detail: Arc<str>,
 }
 
-/// An upstream that was passed over.
+/// An upstream that was excluded from the selection.
 #[derive(Clone, Debug, Serialize)]
 pub struct Exclusion {
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: Arc<str>,
-    /// Why.
+    /// Reason of the exclusion.
     pub why: &'static str,
 }
 
 /// One attempt.
 #[derive(Clone, Debug, Serialize)]
 pub struct Try {
-    /// Where it went.
+    /// Name of the upstream.
     pub upstream: Arc<str>,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent: Millis,
-    /// When something last came in answer, or when it was sent.
+    /// When a frame was last received, or the attempt was sent.
     #[serde(skip)]
     pub(crate) last_received: Millis,
-    /// The load that was believed to be there, this request left out.
+    /// Estimated load of the upstream, without this request.
     pub load: u64,
-    /// How many requests were believed to wait there that it had to wait for.
+    /// Estimated number of requests queued before this one.
     pub queued: u64,
-    /// How long its answer was expected to take to begin, in milliseconds; zero where
-    /// nothing waited.
+    /// Estimated time until the answer begins, in milliseconds; zero if nothing is queued.
     pub wait_ms: f64,
-    /// How many tokens of what it shares were to be copied there.
+    /// Tokens of the shared prefix to copy from another upstream.
     pub copied: u64,
-    /// How many tokens of what it shares were to be read there.
+    /// Tokens of the shared prefix to read.
     pub read: u64,
-    /// The address that a copy of the prompt's cache was to come from.
+    /// Address to copy the prefix from.
     pub warm: Option<Arc<str>>,
-    /// Why it failed, if it did.
+    /// The error of the attempt, if any.
     pub error: Option<Kind>,
-    /// Whether its answer has not begun.
+    /// Whether the answer has not begun.
     #[serde(skip)]
     pub(crate) is_waiting: bool,
-    /// Whether nothing came for too long.
+    /// Whether the attempt exceeded the silence timeout.
     #[serde(skip)]
     pub(crate) is_silent: bool,
-    /// What its outcome was counted as, if it has been.
+    /// The outcome counted for the upstream's health, if any.
     #[serde(skip)]
     pub(crate) recorded_outcome: Option<bool>,
-    /// Whether it is no longer under way.
+    /// Whether its load at the upstream was released.
     #[serde(skip)]
     pub(crate) is_released: bool,
 }
--- a/components/routing/src/requests/dispatch.rs
+++ b/components/routing/src/requests/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends a request to an upstream.
+//! Sends attempts to upstreams.
 
 use std::sync::Arc;
 
@@ -10,33 +10,35 @@
 use crate::beliefs::outlook::{Estimate, millis_to_f64};
 use crate::beliefs::upstream::{BACKING_OFF, COLD, EVACUATED, OVER_BOUND};
 use crate::requests::request::{Phase, Request};
-use crate::selection::prefill::Need;
+use crate::selection::prefill::Prefill;
 use crate::state::State;
 use crate::{Attempt, Effect, Try};
 
-/// Over how long callers come back after a rest, so that they do not return in one moment.
-const RETURNS: Millis = Millis(500);
+/// Spreads the retries of callers after a backoff of all upstreams.
+const RETRY_SPREAD: Millis = Millis(500);
 
 impl State {
-    /// Sends to the next candidate, or gives up.
+    /// Sends the request to the next candidate, or fails it.
     pub(crate) fn send_next(&mut self, id: u64, now: Millis) -> Vec<Effect> {
-        // Others may have ended under it while it waited or was elsewhere.
-        let content = self.requests.get(&id).map(|it| it.arrival.fingerprint);
-        if let Some(left) = content.and_then(|it| self.quarantine_left(it, now)) {
+        // The work may have been quarantined since the last attempt.
+        let fingerprint = self.requests.get(&id).map(|request| request.arrival.fingerprint);
+        if let Some(left) =
+            fingerprint.and_then(|fingerprint| self.quarantine_left(fingerprint, now))
+        {
             return self.fail(id, Kind::HeldBack, left.0, "", now);
         }
         let Some(upstream) = self.next_candidate(id, now) else {
-            let passed = self.requests.get(&id).and_then(|it| it.exclusions.first());
-            let detail = passed.map_or("", |it| it.why);
+            let passed = self.requests.get(&id).and_then(|request| request.exclusions.first());
+            let detail = passed.map_or("", |exclusion| exclusion.why);
             let kind = if detail == OVER_BOUND { Kind::OverBound } else { Kind::NoUpstream };
-            let after = self.returns_after(id, detail, now);
+            let after = self.retry_delay_ms(id, detail, now);
             return self.fail(id, kind, after, detail, now);
         };
         if let Some(claim) = self.claim(id, &upstream, now) {
             return vec![claim];
         }
-        if self.should_wait(id, &upstream, now) {
-            return self.wait(id);
+        if self.should_wait_for_prefill(id, &upstream, now) {
+            return self.delay(id);
         }
         if let Some(after) = self.reject_late(id, &upstream, now) {
             return self.fail(id, Kind::WouldMiss, after, "", now);
@@ -44,11 +46,10 @@
         self.send(id, &upstream, 0, now)
     }
 
-    /// How long a caller is told to stay away for whom no upstream is there, in milliseconds.
-    /// Callers whom cold upstreams can't take yet come back one after the other as those open,
-    /// those whose upstreams all rest soon after the first rest is over; nobody knows when a failure domain is taken back.
-    fn returns_after(&mut self, id: u64, why: &str, now: Millis) -> u64 {
-        let pool = self.requests.get(&id).map(|it| it.pool.clone()).unwrap_or_default();
+    /// Retry time for a request without an available upstream, in milliseconds: when a cold
+    /// upstream has quota again, after the shortest backoff, or a fixed time for evacuated domains.
+    fn retry_delay_ms(&mut self, id: u64, why: &str, now: Millis) -> u64 {
+        let pool = self.requests.get(&id).map(|request| request.pool.clone()).unwrap_or_default();
         match why {
             COLD => {
                 let soonest = self.available_in(&pool, now).unwrap_or_default();
@@ -56,36 +57,37 @@
             }
             BACKING_OFF => {
                 let soonest = self.available_in(&pool, now).unwrap_or_default();
-                soonest.0 + self.rng.random_range(0..RETURNS.0)
+                soonest.0 + self.rng.random_range(0..RETRY_SPREAD.0)
             }
             EVACUATED => self.settings.evacuated_retry_after_ms,
             _ => 0,
         }
     }
 
-    /// The next candidate by rank. After a refusal over load it is the one that
-    /// is known to carry least: the chat's context is elsewhere in any case.
+    /// Takes the next candidate by rank, or the least loaded one after a refusal over load, when
+    /// the chat's context is elsewhere anyway.
     fn next_candidate(&mut self, id: u64, now: Millis) -> Option<Arc<str>> {
-        // What was ranked before its domain was left, or its upstream said that it leaves or
-        // rests, is not sent there.
+        // Candidates may have been closed since they were ranked.
         let mut candidates = std::mem::take(&mut self.requests.get_mut(&id)?.candidates);
-        candidates.retain(|it| !self.is_closed(it, now));
+        candidates.retain(|candidate| !self.is_closed(candidate, now));
         let request = self.requests.get_mut(&id)?;
         request.candidates = candidates;
-        let error = request.tries.last().and_then(|it| it.error);
-        let crowded = matches!(error, Some(Kind::OverBound | Kind::QueueFull | Kind::WouldMiss));
-        let hinted = request.candidates.last().is_some_and(|it| request.hints.contains(it));
-        if !crowded || hinted {
+        let error = request.tries.last().and_then(|attempt| attempt.error);
+        let refused_over_load =
+            matches!(error, Some(Kind::OverBound | Kind::QueueFull | Kind::WouldMiss));
+        let hinted = request.candidates.last().is_some_and(|name| request.hints.contains(name));
+        if !refused_over_load || hinted {
             return request.candidates.pop();
         }
-        let load = |name: &Arc<str>| self.upstreams.get(name).map_or(u64::MAX, |it| it.status.load);
-        let place =
-            (0..request.candidates.len()).min_by_key(|it| load(&request.candidates[*it]))?;
-        Some(request.candidates.remove(place))
+        let load = |name: &Arc<str>| {
+            self.upstreams.get(name).map_or(u64::MAX, |upstream| upstream.status.load)
+        };
+        let index =
+            (0..request.candidates.len()).min_by_key(|index| load(&request.candidates[*index]))?;
+        Some(request.candidates.remove(index))
     }
 
-    /// Sends a request to an upstream: to the life `incarnation` of it, or to any
-    /// if that is zero.
+    /// Sends the request to the given incarnation of an upstream; zero allows any.
     pub(crate) fn send(
         &mut self,
         id: u64,
@@ -93,10 +95,10 @@
         incarnation: u64,
         now: Millis,
     ) -> Vec<Effect> {
-        if self.begin(id, name, now).is_none() {
+        if self.record_attempt(id, name, now).is_none() {
             return Vec::new();
         }
-        let reading = self.begin_reading(id, name, now);
+        let prefill_effect = self.begin_prefill(id, name, now);
         let (request, upstream) = (&self.requests[&id], &self.upstreams[name]);
         let attempt = Attempt {
             number: request.attempt_number(),
@@ -106,22 +108,22 @@
             weight: request.arrival.weight,
             priority: request.priority,
             remaining: now.until(request.deadline),
-            timeout: self.timeout(request, now),
+            timeout: self.attempt_timeout(request, now),
             generation: request.generation,
             chat: key(&request.arrival.workspace, &request.arrival.chat),
             is_home: request.hints.is_empty() && request.home.as_ref() == Some(name),
-            copy_from: request.tries.last().and_then(|it| it.warm.clone()),
+            copy_from: request.tries.last().and_then(|attempt| attempt.warm.clone()),
             resume: request.is_answering(),
-            new_connection: request.tries.iter().any(|it| it.is_silent),
+            new_connection: request.tries.iter().any(|attempt| attempt.is_silent),
         };
         let mut effects = vec![Effect::Send(attempt)];
-        effects.extend(reading);
+        effects.extend(prefill_effect);
         effects
     }
 
-    /// Takes down a new attempt, and its load at the upstream; `None` if the
-    /// request or the upstream is gone.
-    fn begin(&mut self, id: u64, name: &Arc<str>, now: Millis) -> Option<()> {
+    /// Records a new attempt and its load at the upstream; `None` if the request or the upstream is
+    /// gone.
+    fn record_attempt(&mut self, id: u64, name: &Arc<str>, now: Millis) -> Option<()> {
         let forecast = self.forecast_for(id, name, now);
         let request = self.requests.get_mut(&id)?;
         let upstream = self.upstreams.get_mut(name)?;
@@ -133,7 +135,7 @@
         upstream.cold_start.record_sent(now);
         let mechanisms = self.settings.mechanisms;
         let first = request.tries.is_empty();
-        let need = Need::new(&self.prefix_index, &self.upstreams, request, name, mechanisms);
+        let prefill = Prefill::new(&self.prefix_index, &self.upstreams, request, name, mechanisms);
         request.tries.push(Try {
             upstream: name.clone(),
             sent: now,
@@ -141,9 +143,9 @@
             load,
             queued: forecast.queued,
             wait_ms: forecast.wait_ms.round(),
-            copied: need.copied,
-            read: need.read,
-            warm: need.source,
+            copied: prefill.copied,
+            read: prefill.read,
+            warm: prefill.source,
             error: None,
             is_waiting: true,
             is_silent: false,
@@ -151,13 +153,13 @@
             is_released: false,
         });
         if first {
-            self.note_sent(id, now);
+            self.record_first_send(id, now);
         }
         Some(())
     }
 
-    /// How long the upstream of an attempt may say nothing.
-    fn timeout(&self, request: &Request, now: Millis) -> Millis {
+    /// The attempt's timeout for receiving nothing.
+    fn attempt_timeout(&self, request: &Request, now: Millis) -> Millis {
         if self.settings.path.monitors_upstreams() {
             return request.silence_timeout();
         }
--- a/components/routing/src/requests/ownership.rs
+++ b/components/routing/src/requests/ownership.rs
@@ -1,4 +1,4 @@
-//! Calls with an idempotency key: they go to the upstream that owns the key.
+//! Requests with an idempotency key are sent to the upstream that owns the key.
 
 use clock::Millis;
 use errors::Kind;
@@ -8,7 +8,7 @@
 use crate::{Arrival, Effect, Owner, Upstream};
 
 impl State {
-    /// Takes the answer to who owns a key.
+    /// Sends the request to the owner of its key.
     pub(crate) fn handle_key_bound(
         &mut self,
         id: u64,
@@ -27,11 +27,11 @@
         }
     }
 
-    /// A key's calls go to its owner's life or nowhere. An owner that is not
-    /// listed, does not fit or lives again may have run the key before, so the
-    /// answer is not that it did not run.
+    /// Sends the request to the owner's incarnation, or fails it. If the owner is gone, restarted
+    /// or not eligible, the key may have run there before, so the answer does not claim that it did
+    /// not run.
     pub(crate) fn send_to_owner(&mut self, id: u64, owner: &Owner, now: Millis) -> Vec<Effect> {
-        if !self.may_own(id, owner) {
+        if !self.is_valid_owner(id, owner) {
             return self.fail(id, Kind::KeyOwnerGone, 0, &owner.upstream, now);
         }
         if self.is_closed(&owner.upstream, now) {
@@ -43,15 +43,15 @@
         self.send(id, &owner.upstream, owner.incarnation, now)
     }
 
-    /// Whether the owner lives still, and the intents in force let the request go
+    /// Whether the owner's incarnation is still current and the configuration allows the request
     /// there.
-    fn may_own(&self, id: u64, owner: &Owner) -> bool {
-        let lives = |it: &Upstream| it.incarnation <= owner.incarnation;
-        self.upstreams.get(&owner.upstream).is_some_and(lives)
+    fn is_valid_owner(&self, id: u64, owner: &Owner) -> bool {
+        let is_current = |upstream: &Upstream| upstream.incarnation <= owner.incarnation;
+        self.upstreams.get(&owner.upstream).is_some_and(is_current)
             && self.is_allowed(id, &owner.upstream)
     }
 
-    /// Where the calls of a fresh idempotency key would go best now.
+    /// The best upstream for a new idempotency key.
     pub fn choose_owner(
         &mut self,
         workspace: &str,
@@ -61,7 +61,7 @@
     ) -> Option<Owner> {
         let plan = self.plan.clone()?;
         let target = plan.find(workspace, kind, None).ok()?;
-        let ask = Arrival {
+        let arrival = Arrival {
             id: 0,
             request: "".into(),
             workspace: workspace.into(),
@@ -75,9 +75,11 @@
             deadline: None,
         };
         let estimate = self.estimate(target.intent, now);
-        let choice = self.index.choose(&self.upstreams, &target, &ask, &self.settings, &estimate);
-        let upstreams = choice.candidates.iter().rev().filter_map(|name| self.upstreams.get(name));
-        let best = upstreams.into_iter().find(|it| it.is_up(now))?;
+        let selection =
+            self.index.choose(&self.upstreams, &target, &arrival, &self.settings, &estimate);
+        let upstreams =
+            selection.candidates.iter().rev().filter_map(|name| self.upstreams.get(name));
+        let best = upstreams.into_iter().find(|upstream| upstream.is_up(now))?;
         Some(Owner { upstream: best.host.name.clone(), incarnation: best.incarnation })
     }
 }
--- a/components/routing/src/requests/permits.rs
+++ b/components/routing/src/requests/permits.rs
@@ -1,8 +1,7 @@
-//! Requests to a pool that is short of places: the pool's owner is asked before they are sent.
+//! Requests to a saturated pool need a permit of the pool's owner before they are sent.
 //!
-//! Only pools whose upstreams list their slots and tell nothing of their load are asked for, only
-//! while they turn requests away for lack of room, and not for chats, which go where their context
-//! is.
+//! This applies to pools whose upstreams have known slots and report no load, and to requests
+//! outside chats.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,17 +15,16 @@
 use crate::requests::request::{Permit, Phase};
 use crate::state::State;
 
-/// How long a pool is taken to be short after a refusal, until its owner says so.
-const LASTS: Millis = Millis(1_500);
+/// How long a pool counts as saturated after a refusal, until its owner reports it.
+const SATURATION_TTL: Millis = Millis(1_500);
 
-/// How often a request asks again after it was granted a place that it can't use.
-const MOST_CLAIMS: usize = 4;
+/// Number of unusable permits after which a request fails.
+const MAX_CLAIMS: usize = 4;
 
-/// By how many bits the start of a router stands before the number of a claim, so that no number
-/// is used twice.
-const START_BITS: u32 = 20;
+/// Claim numbers start at the router's seed shifted by these bits, so that none is used twice.
+const CLAIM_NUMBER_BITS: u32 = 20;
 
-/// The pools that are short.
+/// Saturated pools and the next claim number.
 #[derive(Debug)]
 pub(crate) struct Saturation {
     until: BTreeMap<Arc<str>, Millis>,
@@ -34,95 +32,102 @@
 }
 
 impl Saturation {
-    /// None yet; `seed` is the start of this router.
+    /// Creates an empty set; `seed` identifies the start of this router.
     pub(crate) fn new(seed: u64) -> Self {
-        Self { until: BTreeMap::new(), next: seed << START_BITS }
+        Self { until: BTreeMap::new(), next: seed << CLAIM_NUMBER_BITS }
     }
 
-    /// A pool is short for so long, or no more.
-    pub(crate) fn record(&mut self, pool: &Arc<str>, lasts: Millis, now: Millis) {
-        if lasts == Millis::ZERO {
+    /// Marks a pool as saturated for `duration`; zero ends the saturation.
+    pub(crate) fn record(&mut self, pool: &Arc<str>, duration: Millis, now: Millis) {
+        if duration == Millis::ZERO {
             self.until.remove(pool);
             return;
         }
-        self.until.insert(pool.clone(), now + lasts);
+        self.until.insert(pool.clone(), now + duration);
     }
 
-    fn holds(&self, pool: &str, now: Millis) -> bool {
-        self.until.get(pool).is_some_and(|it| *it > now)
+    fn is_saturated(&self, pool: &str, now: Millis) -> bool {
+        self.until.get(pool).is_some_and(|until| *until > now)
     }
 
-    fn number(&mut self) -> u64 {
+    fn next_number(&mut self) -> u64 {
         self.next += 1;
         self.next
     }
 }
 
 impl State {
-    /// Notes that a request was turned away for lack of room, where its pool has an owner for
-    /// that; returns whether it has.
+    /// Marks the pool of a request as saturated after a refusal; returns whether the pool uses
+    /// permits.
     pub(crate) fn report_saturation(&mut self, id: u64, now: Millis) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let pool = request.pool.clone();
-        let asks = request.objective_ms.is_some() && !request.arrival.is_chat();
-        if !asks || !self.has_owner(&pool) {
+        let needs_permit = request.objective_ms.is_some() && !request.arrival.is_chat();
+        if !needs_permit || !self.uses_permits(&pool) {
             return false;
         }
-        if !self.saturation.holds(&pool, now) {
-            self.saturation.record(&pool, LASTS, now);
+        if !self.saturation.is_saturated(&pool, now) {
+            self.saturation.record(&pool, SATURATION_TTL, now);
             self.pending_effects.push(Effect::ReportSaturation { pool });
         }
         true
     }
 
-    /// Whether places of a pool are granted by an owner while it is short: its upstreams list
-    /// their slots and tell no load.
-    fn has_owner(&self, pool: &str) -> bool {
-        let mut members = self.members_of(pool).peekable();
+    /// Whether the pool issues permits while it is saturated: its upstreams have known slots and
+    /// report no load.
+    fn uses_permits(&self, pool: &str) -> bool {
+        let mut members = self.pool_upstreams(pool).peekable();
         self.settings.mechanisms.places
             && self.settings.path.monitors_upstreams()
             && !pool.is_empty()
             && members.peek().is_some()
-            && members.all(|it| it.host.slots > 0 && !it.has_observed_load())
+            && members.all(|upstream| upstream.host.slots > 0 && !upstream.has_observed_load())
     }
 
-    fn members_of(&self, pool: &str) -> impl Iterator<Item = &Upstream> {
-        self.upstreams.values().filter(move |it| &*it.pool() == pool)
+    fn pool_upstreams(&self, pool: &str) -> impl Iterator<Item = &Upstream> {
+        self.upstreams.values().filter(move |upstream| &*upstream.pool() == pool)
     }
 
-    /// The upstreams of a pool that may be sent to, and their slots: what its owner grants.
+    /// The upstreams of a pool that accept requests, with their slots; cold ones only if there are
+    /// no others.
     pub fn available_slots(&self, pool: &str, now: Millis) -> Vec<(Arc<str>, u64)> {
-        let takes = |it: &&Upstream| {
-            let gone = it.is_suspect(now) && !it.reachable;
-            !it.is_leaving() && !it.evacuated && !it.notice.is_backing_off(now) && !gone
+        let accepts = |upstream: &&Upstream| {
+            let is_down = upstream.is_suspect(now) && !upstream.reachable;
+            !upstream.is_leaving()
+                && !upstream.evacuated
+                && !upstream.notice.is_backing_off(now)
+                && !is_down
         };
-        let place = |it: &Upstream| (it.name().clone(), it.host.slots);
-        let open: Vec<_> =
-            self.members_of(pool).filter(takes).filter(|it| !it.cold_start.is_cold(now)).collect();
+        let slots = |upstream: &Upstream| (upstream.name().clone(), upstream.host.slots);
+        let open: Vec<_> = self
+            .pool_upstreams(pool)
+            .filter(accepts)
+            .filter(|upstream| !upstream.cold_start.is_cold(now))
+            .collect();
         if open.is_empty() {
-            return self.members_of(pool).filter(takes).map(place).collect();
+            return self.pool_upstreams(pool).filter(accepts).map(slots).collect();
         }
-        open.into_iter().map(place).collect()
+        open.into_iter().map(slots).collect()
     }
 
-    /// Asks for a place for a request that would go to `upstream`, if its pool is short.
+    /// Claims a permit for a request about to be sent to `upstream`, if its pool is saturated.
     pub(crate) fn claim(&mut self, id: u64, upstream: &Arc<str>, now: Millis) -> Option<Effect> {
         let request = self.requests.get(&id)?;
         let pool = request.pool.clone();
         let objective_ms = u32::try_from(request.objective_ms?).unwrap_or(u32::MAX);
-        let asks =
+        let needs_permit =
             request.permit == Permit::None && !request.is_answering() && !request.arrival.is_chat();
-        if !asks || !self.saturation.holds(&pool, now) || !self.has_owner(&pool) {
+        if !needs_permit || !self.saturation.is_saturated(&pool, now) || !self.uses_permits(&pool) {
             return None;
         }
-        let number = self.saturation.number();
+        let number = self.saturation.next_number();
         let request = self.requests.get_mut(&id)?;
         request.candidates.push(upstream.clone());
         request.phase = Phase::Claiming;
         request.permit = Permit::Claimed(number);
         let age_ms = u32::try_from(request.arrived.until(now).0).unwrap_or(u32::MAX);
         let mut avoid = request.unusable.clone();
-        avoid.extend(request.tries.iter().map(|it| it.upstream.clone()));
+        avoid.extend(request.tries.iter().map(|attempt| attempt.upstream.clone()));
         let claim = Claim {
             number,
             workspace: request.arrival.workspace.clone(),
@@ -136,7 +141,7 @@
         Some(Effect::Claim { pool, claim })
     }
 
-    /// A request has got a place.
+    /// Sends the request to the upstream of its permit.
     pub(crate) fn handle_granted(
         &mut self,
         id: u64,
@@ -144,23 +149,22 @@
         upstream: &Arc<str>,
         now: Millis,
     ) -> Vec<Effect> {
-        if !self.claims(id, number) {
+        if !self.has_open_claim(id, number) {
             return Vec::new();
         }
         if self.is_expired(id, now) {
             return self.fail(id, Kind::ExpiredWaiting, 0, "", now);
         }
         if !self.is_usable(id, upstream, now) {
-            return self.claim_anew(id, upstream, now);
+            return self.claim_again(id, upstream, now);
         }
         let Some(request) = self.requests.get_mut(&id) else { return Vec::new() };
         request.permit = Permit::Held(number);
-        request.candidates.retain(|it| it != upstream);
+        request.candidates.retain(|candidate| candidate != upstream);
         self.send(id, upstream, 0, now)
     }
 
-    /// A request gets no place. One that may have run goes on without: its caller could not send
-    /// it again.
+    /// Refuses the request, unless an earlier attempt may have run: the caller could not repeat it.
     pub(crate) fn handle_denied(
         &mut self,
         id: u64,
@@ -168,10 +172,10 @@
         after_ms: u64,
         now: Millis,
     ) -> Vec<Effect> {
-        if !self.claims(id, number) {
+        if !self.has_open_claim(id, number) {
             return Vec::new();
         }
-        if self.requests.get(&id).is_some_and(|it| it.uncertain_error().is_some()) {
+        if self.requests.get(&id).is_some_and(|request| request.uncertain_error().is_some()) {
             return self.handle_unanswered(id, number, now);
         }
         if let Some(request) = self.requests.get_mut(&id) {
@@ -180,9 +184,9 @@
         self.fail(id, Kind::WouldMiss, after_ms, "", now)
     }
 
-    /// A request goes without a place that an owner grants.
+    /// Sends the request without a permit.
     pub(crate) fn handle_unanswered(&mut self, id: u64, number: u64, now: Millis) -> Vec<Effect> {
-        if !self.claims(id, number) {
+        if !self.has_open_claim(id, number) {
             return Vec::new();
         }
         if self.is_expired(id, now) {
@@ -194,51 +198,57 @@
         self.send_next(id, now)
     }
 
-    /// Gives back the place of a request whose attempt has ended, or takes back its ask.
+    /// Returns the permit of a finished attempt, or withdraws the claim.
     pub(crate) fn release_permit(&mut self, id: u64, error: Option<Kind>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let place = std::mem::take(&mut request.permit);
-        let (Permit::Claimed(number) | Permit::Held(number)) = place else { return };
-        let end = if place == Permit::Held(number) { finish(error) } else { Finish::Unused };
-        let took = request.tries.last().map_or(Millis::ZERO, |it| it.sent.until(it.last_received));
+        let permit = std::mem::take(&mut request.permit);
+        let (Permit::Claimed(number) | Permit::Held(number)) = permit else { return };
+        let end = if permit == Permit::Held(number) { finish(error) } else { Finish::Unused };
+        let elapsed = request
+            .tries
+            .last()
+            .map_or(Millis::ZERO, |attempt| attempt.sent.until(attempt.last_received));
         let pool = request.pool.clone();
-        self.pending_effects.push(Effect::Release { pool, number, end, elapsed: took });
+        self.pending_effects.push(Effect::Release { pool, number, end, elapsed });
     }
 
-    /// Whether a request has asked under this number and not been answered.
-    fn claims(&self, id: u64, number: u64) -> bool {
-        let asks = |it: &Permit| *it == Permit::Claimed(number);
-        self.requests.get(&id).is_some_and(|it| it.phase == Phase::Claiming && asks(&it.permit))
+    /// Whether the request has an open claim with this number.
+    fn has_open_claim(&self, id: u64, number: u64) -> bool {
+        let is_claimed = |permit: &Permit| *permit == Permit::Claimed(number);
+        self.requests
+            .get(&id)
+            .is_some_and(|request| request.phase == Phase::Claiming && is_claimed(&request.permit))
     }
 
-    /// Whether the time of a request is over, which nobody tells while it asks.
+    /// Whether the deadline passed; no `Expire` event arrives while a claim is open.
     fn is_expired(&self, id: u64, now: Millis) -> bool {
-        self.requests.get(&id).is_some_and(|it| it.deadline <= now)
+        self.requests.get(&id).is_some_and(|request| request.deadline <= now)
     }
 
-    /// Whether a request may be sent to an upstream that it was granted a place at.
+    /// Whether the request may be sent to the upstream of its permit.
     fn is_usable(&self, id: u64, upstream: &Arc<str>, now: Millis) -> bool {
-        let takes =
-            |it: &Upstream| !it.is_leaving() && !it.evacuated && !it.notice.is_backing_off(now);
-        self.upstreams.get(upstream).is_some_and(takes)
+        let accepts = |upstream: &Upstream| {
+            !upstream.is_leaving() && !upstream.evacuated && !upstream.notice.is_backing_off(now)
+        };
+        self.upstreams.get(upstream).is_some_and(accepts)
             && !self.is_closed(upstream, now)
             && self.is_allowed(id, upstream)
     }
 
-    /// Gives back a place that can't be used, and asks for another.
-    fn claim_anew(&mut self, id: u64, upstream: &Arc<str>, now: Millis) -> Vec<Effect> {
+    /// Returns an unusable permit and claims another.
+    fn claim_again(&mut self, id: u64, upstream: &Arc<str>, now: Millis) -> Vec<Effect> {
         self.release_permit(id, None);
         let Some(request) = self.requests.get_mut(&id) else { return Vec::new() };
         request.unusable.push(upstream.clone());
-        request.candidates.retain(|it| it != upstream);
-        if request.unusable.len() >= MOST_CLAIMS {
+        request.candidates.retain(|candidate| candidate != upstream);
+        if request.unusable.len() >= MAX_CLAIMS {
             return self.fail(id, Kind::NoUpstream, 0, "", now);
         }
         self.send_next(id, now)
     }
 }
 
-/// What became of the permit of an attempt that ended with `error`.
+/// Usage of a permit whose attempt ended with `error`.
 fn finish(error: Option<Kind>) -> Finish {
     match error {
         None | Some(Kind::UpstreamFailed | Kind::Crossed | Kind::Truncated) => Finish::Answered,
--- a/components/routing/src/requests/reply.rs
+++ b/components/routing/src/requests/reply.rs
@@ -1,4 +1,4 @@
-//! What becomes of an attempt.
+//! Handles replies to attempts.
 
 use std::sync::Arc;
 
@@ -8,15 +8,13 @@
 use wire::{Broken, Chunk, DirectoryUpdate, End, Head, Refused, Stage, Status};
 
 use crate::requests::request::{Phase, Request};
-use crate::selection::prefixes::share;
+use crate::selection::prefixes::publish_prefixes;
 use crate::state::State;
 use crate::{Effect, Reply};
 
-/// The lowest HTTP status that is no success.
-const NO_SUCCESS: u16 = 300;
+const MIN_UNSUCCESSFUL_STATUS: u16 = 300;
 
-/// The lowest HTTP status of a failure of the upstream.
-const FAILURES: u16 = 500;
+const MIN_FAILURE_STATUS: u16 = 500;
 
 impl State {
     pub(crate) fn handle_reply(
@@ -31,27 +29,28 @@
         }
         self.record_activity(id, now);
         match reply {
-            Reply::Refused(refused) => self.refused(id, &refused, now),
-            Reply::Admitted(admitted) => self.admitted(id, admitted.status, now),
-            Reply::Head(head) => self.head(id, head, now),
-            Reply::Chunk(chunk) => self.chunk(id, chunk, now),
-            Reply::End(end) => self.end(id, end, now),
-            Reply::Broken(broken) => self.broken(id, broken, now),
+            Reply::Refused(refused) => self.handle_refused(id, &refused, now),
+            Reply::Admitted(admitted) => self.handle_admitted(id, admitted.status, now),
+            Reply::Head(head) => self.handle_head(id, head, now),
+            Reply::Chunk(chunk) => self.handle_chunk(id, chunk, now),
+            Reply::End(end) => self.handle_end(id, end, now),
+            Reply::Broken(broken) => self.handle_broken(id, broken, now),
             Reply::Unexpected => self.abort(id, Kind::Crossed, now),
         }
     }
 
-    /// Whether replies to `attempt` still count.
+    /// Whether `attempt` is current, so that replies to it count.
     fn is_current(&self, id: u64, attempt: u32) -> bool {
-        self.requests.get(&id).is_some_and(|it| {
-            it.attempt_number() == attempt && !matches!(it.phase, Phase::Binding | Phase::Claiming)
+        self.requests.get(&id).is_some_and(|request| {
+            request.attempt_number() == attempt
+                && !matches!(request.phase, Phase::Binding | Phase::Claiming)
         })
     }
 
-    fn refused(&mut self, id: u64, refused: &Refused, now: Millis) -> Vec<Effect> {
+    fn handle_refused(&mut self, id: u64, refused: &Refused, now: Millis) -> Vec<Effect> {
         self.record_status(id, refused.status, now);
         if !refused.hints.is_empty() {
-            self.follow(id, refused);
+            self.follow_hints(id, refused);
         }
         if self.settings.path.monitors_upstreams() {
             match refused.kind {
@@ -64,9 +63,9 @@
         self.retry(id, refused.kind, refused.retry_after_ms, now)
     }
 
-    /// The chat's context is elsewhere: those places are next, then the home
-    /// itself if it has room. A hint never leads past the intents.
-    fn follow(&mut self, id: u64, refused: &Refused) {
+    /// Puts the upstreams that have the chat's context next, then its home. Hints to upstreams that
+    /// the configuration does not allow are ignored.
+    fn follow_hints(&mut self, id: u64, refused: &Refused) {
         let allowed = |hint: &&Arc<str>| self.is_allowed(id, hint);
         let mut hints: Vec<_> = refused.hints.iter().filter(allowed).cloned().collect();
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -74,18 +73,17 @@
             return;
         }
         request.hints.clone_from(&refused.hints);
-        request.candidates.retain(|it| !hints.contains(it));
+        request.candidates.retain(|candidate| !hints.contains(candidate));
         if refused.kind == Kind::Moved {
-            let home = request.tries.last().map(|it| it.upstream.clone());
+            let home = request.tries.last().map(|attempt| attempt.upstream.clone());
             request.candidates.extend(home);
         }
         hints.reverse();
         request.candidates.append(&mut hints);
     }
 
-    /// What the chat's first upstream in rank is to be told, if it was answered
-    /// by another than it believes.
-    fn note(&self, id: u64) -> Option<Effect> {
+    /// The update of the chat's directory entry, if another upstream served it than the entry says.
+    fn directory_update(&self, id: u64) -> Option<Effect> {
         let request = self.requests.get(&id)?;
         let (home, served) = (request.home.as_ref()?, request.upstream()?);
         if home == served || request.hints.first() == Some(served) {
@@ -100,7 +98,7 @@
         })
     }
 
-    fn admitted(&mut self, id: u64, status: Status, now: Millis) -> Vec<Effect> {
+    fn handle_admitted(&mut self, id: u64, status: Status, now: Millis) -> Vec<Effect> {
         self.record_status(id, status, now);
         if let Some(request) = self.requests.get_mut(&id)
             && request.phase == Phase::Sent
@@ -110,7 +108,7 @@
         Vec::new()
     }
 
-    fn head(&mut self, id: u64, head: Head, now: Millis) -> Vec<Effect> {
+    fn handle_head(&mut self, id: u64, head: Head, now: Millis) -> Vec<Effect> {
         let Some(request) = self.requests.get_mut(&id) else {
             return Vec::new();
         };
@@ -118,15 +116,17 @@
             return self.abort(id, Kind::Crossed, now);
         }
         if request.is_answering() {
-            return self.resumed(id, head.status, now);
+            return self.resume_answer(id, head.status, now);
         }
-        self.record_outcome(id, head.status < FAILURES, now);
+        self.record_outcome(id, head.status < MIN_FAILURE_STATUS, now);
         let Some(request) = self.requests.get(&id) else {
             return Vec::new();
         };
-        if head.status >= FAILURES && request.repeatable && self.settings.path.monitors_upstreams()
+        if head.status >= MIN_FAILURE_STATUS
+            && request.repeatable
+            && self.settings.path.monitors_upstreams()
         {
-            return self.failed(id, head, now);
+            return self.handle_upstream_failure(id, head, now);
         }
         let Some(request) = self.requests.get_mut(&id) else {
             return Vec::new();
@@ -134,23 +134,23 @@
         request.start_answer(head.status, now);
         let mut effects = vec![Effect::Head(head)];
         if let Some(upstream) = request.upstream().cloned() {
-            let parts =
+            let prefixes =
                 self.prefix_index.record_cached(&request.arrival.prefix_hashes(), &upstream);
-            effects.extend(share(&upstream, parts, Stage::Cached));
+            effects.extend(publish_prefixes(&upstream, prefixes, Stage::Cached));
             self.record_alive(&upstream);
         }
         self.record_answer_start(id, now);
         effects
     }
 
-    /// Another upstream goes on with an answer: the caller keeps the head of the
-    /// one that began it, and a failure is no part of it.
-    fn resumed(&mut self, id: u64, status: u16, now: Millis) -> Vec<Effect> {
-        let resumed = |it: &Request| it.resumable && it.attempt_number() > 1;
-        if !self.requests.get(&id).is_some_and(resumed) {
+    /// Continues an answer at another upstream: the caller keeps the first head, and an
+    /// unsuccessful status counts as a failure.
+    fn resume_answer(&mut self, id: u64, status: u16, now: Millis) -> Vec<Effect> {
+        let can_resume = |request: &Request| request.resumable && request.attempt_number() > 1;
+        if !self.requests.get(&id).is_some_and(can_resume) {
             return self.abort(id, Kind::Crossed, now);
         }
-        if status < NO_SUCCESS {
+        if status < MIN_UNSUCCESSFUL_STATUS {
             self.record_answer_start(id, now);
             return Vec::new();
         }
@@ -159,9 +159,8 @@
         effects
     }
 
-    /// The upstream ran the request and failed. Another one may do better; if
-    /// none may be asked, the caller gets the failure.
-    fn failed(&mut self, id: u64, head: Head, now: Millis) -> Vec<Effect> {
+    /// Retries a request that failed at its upstream, or passes the failure on to the caller.
+    fn handle_upstream_failure(&mut self, id: u64, head: Head, now: Millis) -> Vec<Effect> {
         if self.acquire_retry(id, Kind::UpstreamFailed, now) {
             self.record_failure(id, Kind::UpstreamFailed);
             let mut effects = vec![Effect::Cancel];
@@ -174,7 +173,7 @@
         vec![Effect::Head(head)]
     }
 
-    fn chunk(&mut self, id: u64, chunk: Chunk, now: Millis) -> Vec<Effect> {
+    fn handle_chunk(&mut self, id: u64, chunk: Chunk, now: Millis) -> Vec<Effect> {
         let Some(request) = self.requests.get_mut(&id) else {
             return Vec::new();
         };
@@ -197,7 +196,7 @@
         vec![Effect::Relay(chunk.bytes)]
     }
 
-    fn end(&mut self, id: u64, end: End, now: Millis) -> Vec<Effect> {
+    fn handle_end(&mut self, id: u64, end: End, now: Millis) -> Vec<Effect> {
         self.record_status(id, end.status, now);
         let Some(request) = self.requests.get_mut(&id) else {
             return Vec::new();
@@ -205,17 +204,17 @@
         if end.attempt != request.attempt_number() {
             return self.abort(id, Kind::Crossed, now);
         }
-        let whole = Phase::Answering { chunks: end.chunks, bytes: end.bytes };
-        if request.phase != whole {
+        let complete = Phase::Answering { chunks: end.chunks, bytes: end.bytes };
+        if request.phase != complete {
             return self.abort(id, Kind::Truncated, now);
         }
-        let mut effects: Vec<_> = self.note(id).into_iter().collect();
+        let mut effects: Vec<_> = self.directory_update(id).into_iter().collect();
         effects.push(Effect::Finish);
         effects.extend(self.close(id, None, "", now));
         effects
     }
 
-    fn broken(&mut self, id: u64, broken: Broken, now: Millis) -> Vec<Effect> {
+    fn handle_broken(&mut self, id: u64, broken: Broken, now: Millis) -> Vec<Effect> {
         let Some(request) = self.requests.get(&id) else {
             return Vec::new();
         };
@@ -264,18 +263,17 @@
         effects
     }
 
-    /// A sidecar that says nothing is frozen or cut off; the request may still
-    /// run there.
+    /// Handles an attempt whose timeout passed; the request may still be running there.
     pub(crate) fn handle_stall(&mut self, id: u64, attempt: u32, now: Millis) -> Vec<Effect> {
         if self.settings.path.monitors_upstreams() {
-            let looks = self.settings.mechanisms.silence;
-            return if looks && self.is_current(id, attempt) {
+            let detects_silence = self.settings.mechanisms.silence;
+            return if detects_silence && self.is_current(id, attempt) {
                 self.check_silence(id, now)
             } else {
                 Vec::new()
             };
         }
-        let waiting = self.requests.get(&id).is_some_and(|it| it.phase == Phase::Sent);
+        let waiting = self.requests.get(&id).is_some_and(|request| request.phase == Phase::Sent);
         if !waiting || !self.is_current(id, attempt) {
             return Vec::new();
         }
--- a/components/routing/src/requests/request.rs
+++ b/components/routing/src/requests/request.rs
@@ -1,4 +1,4 @@
-//! One request on its way.
+//! State of a request in flight.
 
 use std::sync::Arc;
 
@@ -9,84 +9,83 @@
 use crate::beliefs::outlook::Estimate;
 use crate::{Arrival, Exclusion, IdempotencyKey, Try};
 
-/// How far the current attempt has come.
+/// Progress of the current attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// The owner of the key is being looked up.
+    /// The owner of the idempotency key is being resolved.
     Binding,
-    /// Not sent yet: its upstream is reading what it shares with another.
+    /// Not sent: waits for another request to finish reading the same prefix.
     Waiting,
-    /// Not sent yet: its pool is short, and the pool's owner is asked for a place.
+    /// Not sent: the pool is saturated, and a permit was claimed.
     Claiming,
-    /// Sent; the sidecar has not said anything.
+    /// Sent; nothing received yet.
     Sent,
-    /// The sidecar has taken it.
+    /// Admitted by the sidecar.
     Admitted,
-    /// The head of the answer was passed on.
+    /// The head of the answer was sent to the caller.
     Answering { chunks: u64, bytes: u64 },
 }
 
-/// How a request stands with the owner of its pool.
+/// Permit for a slot in a saturated pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Permit {
-    /// It has asked for none.
+    /// None was claimed.
     #[default]
     None,
-    /// It has asked, under this number.
+    /// Claimed with this number.
     Claimed(u64),
-    /// It holds the permit of this number.
+    /// Held; the number is the claim's.
     Held(u64),
-    /// It goes without a permit, by this router's own part.
+    /// Sent without a permit, within this router's local quota.
     Local,
 }
 
-/// The state of a request between its arrival and its final answer.
+/// A request between its arrival and its final answer.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
     pub arrival: Arrival,
     pub arrived: Millis,
-    /// How old the proof was that the configuration in force is the newest.
+    /// Age of the configuration's confirmation on arrival, in milliseconds.
     pub proof_ms: Option<u64>,
-    /// The view on its pool when it came.
+    /// Load estimates of the pool, as of the last ranking.
     pub estimate: Estimate,
-    /// The status of the answer that was passed on.
+    /// HTTP status of the answer.
     pub status: Option<u16>,
-    /// When the head of the answer was passed on, and when the last part was.
+    /// When the head and the last part of the answer were sent to the caller.
     pub answered_at: Option<Millis>,
     pub relayed_at: Option<Millis>,
-    /// The longest that the caller waited between two parts.
+    /// Longest gap between two parts of the answer.
     pub longest_gap: Millis,
     pub deadline: Millis,
-    /// The time to an answer, or to its first event, that callers hope for.
+    /// Target time until the answer, or its first event, in milliseconds.
     pub objective_ms: Option<u64>,
-    /// Until when it may wait for another request's reading.
+    /// Until when it may wait for another request's prefill.
     pub wait_until: Millis,
     pub phase: Phase,
     pub repeatable: bool,
     /// Whether a broken answer may be continued at another upstream.
     pub resumable: bool,
-    /// The most upstreams that it may be sent to.
+    /// Maximum number of upstreams it may be sent to.
     pub max_attempts: u32,
-    /// The pool whose retry budget it draws on.
+    /// Pool whose retry budget it uses.
     pub pool: Arc<str>,
     pub priority: i32,
     pub intent: Arc<str>,
     pub generation: u64,
-    /// The candidates not tried yet, the next one last.
+    /// Candidates not tried yet, the next one last.
     pub candidates: Vec<Arc<str>>,
     pub exclusions: Vec<Exclusion>,
-    /// The chat's first upstream in rank, which keeps its directory entry.
+    /// First upstream in rank, which keeps the chat's directory entry.
     pub home: Option<Arc<str>>,
-    /// The first in rank, where the chat's context is warm if anywhere.
+    /// First upstream in rank, which most likely has the chat's context cached.
     pub first_ranked: Option<Arc<str>>,
-    /// Where the home said that the chat's context is.
+    /// Upstreams that have the chat's context, according to its home.
     pub hints: Vec<Arc<str>>,
     pub tries: Vec<Try>,
-    /// How its workspace stood to its share when it was turned away.
+    /// Standing of the workspace when the request was refused.
     pub standing: Option<Standing>,
-    /// Its place in a pool that is short.
     pub permit: Permit,
-    /// Upstreams where it was granted a place that it can't use.
+    /// Upstreams of returned permits.
     pub unusable: Vec<Arc<str>>,
 }
 
@@ -95,24 +94,23 @@
         u32::try_from(self.tries.len()).unwrap_or(u32::MAX)
     }
 
-    /// How many upstreams the request has been sent to; one that no connection
-    /// led to is none.
+    /// Number of upstreams the request was sent to, without failed connections.
     pub(crate) fn reached_count(&self) -> u32 {
-        let reached = self.tries.iter().filter(|it| it.error != Some(Kind::Unreachable));
+        let reached = self.tries.iter().filter(|attempt| attempt.error != Some(Kind::Unreachable));
         u32::try_from(reached.count()).unwrap_or(u32::MAX)
     }
 
-    /// The head of an answer is passed on.
+    /// Marks the head of the answer as sent to the caller.
     pub(crate) fn start_answer(&mut self, status: u16, now: Millis) {
         self.phase = Phase::Answering { chunks: 0, bytes: 0 };
         self.status = Some(status);
         self.answered_at = Some(now);
     }
 
-    /// A part of an answer is passed on.
+    /// Marks a part of the answer as sent to the caller.
     pub(crate) fn record_chunk(&mut self, now: Millis) {
-        let pause = self.relayed_at.map_or(Millis::ZERO, |it| it.until(now));
-        self.longest_gap = self.longest_gap.max(pause);
+        let gap = self.relayed_at.map_or(Millis::ZERO, |relayed_at| relayed_at.until(now));
+        self.longest_gap = self.longest_gap.max(gap);
         self.relayed_at = Some(now);
     }
 
@@ -120,14 +118,14 @@
         self.arrival.idempotency_key.as_ref()
     }
 
-    /// Where the current attempt went.
+    /// Upstream of the current attempt.
     pub(crate) fn upstream(&self) -> Option<&Arc<str>> {
-        self.tries.last().map(|it| &it.upstream)
+        self.tries.last().map(|attempt| &attempt.upstream)
     }
 
-    /// The error of an attempt that may have run, if there was one.
+    /// Error of an attempt that may have run, if any.
     pub(crate) fn uncertain_error(&self) -> Option<Kind> {
-        let mut errors = self.tries.iter().filter_map(|it| it.error);
+        let mut errors = self.tries.iter().filter_map(|attempt| attempt.error);
         errors.find(|kind| kind.row().outcome != Outcome::NotRun)
     }
 
--- a/components/routing/src/selection.rs
+++ b/components/routing/src/selection.rs
@@ -1,4 +1,4 @@
-//! Where a request goes: which upstreams fit, their order, and what each lacks of the prompt.
+//! Selection of upstreams: candidates, their order, and the prompt prefixes each one is missing.
 
 pub(crate) mod candidates;
 pub(crate) mod prefill;
--- a/components/routing/src/selection/prefill.rs
+++ b/components/routing/src/selection/prefill.rs
@@ -1,4 +1,4 @@
-//! What an upstream lacks of a request's prompt, and where it may copy it from.
+//! The prefix of a prompt that an upstream must read or copy before it answers.
 
 use std::sync::Arc;
 
@@ -7,33 +7,28 @@
 use crate::selection::candidates::Upstreams;
 use crate::{Mechanisms, Upstream};
 
-/// From which share of its slots, one in so many, an upstream is taken to drop parts: the
-/// memory of those that run is no longer there for parts. In calm, copies that were asked for
-/// in vain cost 0.005 of what a day is worth; they carry 2 to 8 requests then.
-const CROWDED: u64 = 4;
+/// An upstream whose load is at least its slots divided by this may have evicted cached prefixes.
+const EVICTION_LOAD_DIVISOR: u64 = 4;
 
-/// From how many tokens on a second upstream is named to copy from where the first is believed
-/// to hold them: it may have dropped them, and reading 500 takes 5 to 10 ms.
-const WORTH_A_SOURCE: u64 = 500;
+/// Minimum length of a cached prefix for which a second source is named, in case it was evicted.
+const MIN_BACKUP_SOURCE_TOKENS: u64 = 500;
 
-/// What an upstream is believed to need before it can answer a request.
-pub(crate) struct Need {
-    /// The address of an upstream from which it may copy what it lacks of the
-    /// prompt. Where it is believed to have read all, another that has too: engines drop what
-    /// was used least lately, nobody tells of that, and one that lacks nothing copies nothing.
+/// Estimated work of an upstream before it can answer a request.
+pub(crate) struct Prefill {
+    /// Address of an upstream to copy the prefix from. Also set for a fully cached prefix that may
+    /// have been evicted: the upstream copies only what it is missing.
     pub source: Option<Arc<str>>,
-    /// The tokens that are copied from there.
+    /// Tokens to copy from there.
     pub copied: u64,
-    /// The tokens of what the request shares with others that it must read.
+    /// Tokens of the shared prefix to read.
     pub read: u64,
 }
 
-impl Need {
-    /// What `name` needs for a request.
+impl Prefill {
+    /// Determines the prefill of a request at upstream `name`.
     ///
-    /// The longest part counts that is known to be warm anywhere. A chat that is
-    /// sent past its first upstream in rank finds its context there, even if other
-    /// routers sent all its earlier requests.
+    /// Uses the longest prefix with a known source. For a chat sent past its first upstream in
+    /// rank, that upstream is a possible source even if other routers sent its earlier requests.
     pub(crate) fn new(
         prefix_index: &PrefixIndex,
         upstreams: &Upstreams,
@@ -41,33 +36,44 @@
         name: &Arc<str>,
         mechanisms: Mechanisms,
     ) -> Self {
-        let address = |name: &Arc<str>, lacks: u64| {
-            let sound = |it: &&Upstream| !mechanisms.doubts || it.is_copy_source(lacks);
-            let source = upstreams.get(name).filter(sound).filter(|_| mechanisms.copies)?;
+        let source_address = |name: &Arc<str>, missing: u64| {
+            let is_usable =
+                |upstream: &&Upstream| !mechanisms.doubts || upstream.is_copy_source(missing);
+            let source = upstreams.get(name).filter(is_usable).filter(|_| mechanisms.copies)?;
             Some(source.host.address.clone())
         };
-        let first = request.first_ranked.as_ref().filter(|it| *it != name);
-        let shared = &request.arrival.prefixes;
-        let held = shared.iter().rev().find(|it| prefix_index.holds(it.hash, name));
-        let (all, held) = (request.arrival.prefix_tokens(), held.map_or(0, |it| it.tokens));
-        for (depth, part) in shared.iter().rev().enumerate().take_while(|(_, it)| it.tokens > held)
+        let first_ranked = request.first_ranked.as_ref().filter(|upstream| *upstream != name);
+        let prefixes = &request.arrival.prefixes;
+        let cached = prefixes.iter().rev().find(|prefix| prefix_index.holds(prefix.hash, name));
+        let (total, cached) =
+            (request.arrival.prefix_tokens(), cached.map_or(0, |prefix| prefix.tokens));
+        for (depth, prefix) in
+            prefixes.iter().rev().enumerate().take_while(|(_, prefix)| prefix.tokens > cached)
         {
-            let lacks = part.tokens - held;
-            let known = prefix_index.holders(part.hash).find_map(|it| address(it, lacks));
-            let home = first.filter(|_| depth == 0);
-            let source = known.or_else(|| home.and_then(|it| address(it, lacks)));
+            let missing = prefix.tokens - cached;
+            let holder = prefix_index
+                .holders(prefix.hash)
+                .find_map(|holder| source_address(holder, missing));
+            let home = first_ranked.filter(|_| depth == 0);
+            let source =
+                holder.or_else(|| home.and_then(|upstream| source_address(upstream, missing)));
             if source.is_some() {
-                return Self { source, copied: lacks, read: all - part.tokens };
+                return Self { source, copied: missing, read: total - prefix.tokens };
             }
         }
-        let crowded = |it: &&Upstream| {
-            it.host.slots > 0 && it.estimated_load(&request.estimate) * CROWDED >= it.host.slots
+        let may_evict = |upstream: &&Upstream| {
+            upstream.host.slots > 0
+                && upstream.estimated_load(&request.estimate) * EVICTION_LOAD_DIVISOR
+                    >= upstream.host.slots
         };
-        let crowded = upstreams.get(name).as_ref().is_some_and(crowded);
-        let kept = shared.last().filter(|it| it.tokens == held && held >= WORTH_A_SOURCE);
-        let kept = kept.filter(|_| crowded);
-        let mut others = kept.into_iter().flat_map(|it| prefix_index.holders(it.hash));
-        let source = others.find_map(|it| address(it, 0).filter(|_| it != name));
-        Self { source, copied: 0, read: all - held }
+        let may_evict = upstreams.get(name).as_ref().is_some_and(may_evict);
+        let cached_prefix = prefixes
+            .last()
+            .filter(|prefix| prefix.tokens == cached && cached >= MIN_BACKUP_SOURCE_TOKENS);
+        let cached_prefix = cached_prefix.filter(|_| may_evict);
+        let mut others =
+            cached_prefix.into_iter().flat_map(|prefix| prefix_index.holders(prefix.hash));
+        let source = others.find_map(|holder| source_address(holder, 0).filter(|_| holder != name));
+        Self { source, copied: 0, read: total - cached }
     }
 }
--- a/components/routing/src/selection/prefixes.rs
+++ b/components/routing/src/selection/prefixes.rs
@@ -1,5 +1,5 @@
-//! What routers tell each other of warm parts of prompts, and how a request
-//! waits for parts that are being read.
+//! Exchange of cached prompt prefixes between routers, and delays of requests whose prefix is being
+//! read.
 
 use std::sync::Arc;
 
@@ -10,36 +10,37 @@
 use crate::state::State;
 use crate::{Effect, Prefix};
 
-/// The share of its objective that a request may wait: one part in so many. With
-/// the longest common part, 10,512 tokens on the mean, read in 220 ms, a quarter
-/// of the sites' 1,200 ms is enough.
-const PATIENCE: u64 = 4;
+/// A request waits for another's prefill for at most its objective divided by this.
+const MAX_WAIT_DIVISOR: u64 = 4;
 
-/// How often a request that waits looks again, in milliseconds.
-const LOOK_AGAIN: Millis = Millis(20);
+/// How often a delayed request is checked again.
+const RECHECK_INTERVAL: Millis = Millis(20);
 
-/// The most parts that are told at a time, so that a hint fits one datagram.
-const MAX_TOLD: usize = 100;
+/// Maximum number of prefixes in a message, so that it fits one datagram.
+const MAX_PUBLISHED_PREFIXES: usize = 100;
 
-/// Until when a request that came at `now` may wait for another's reading; one
-/// without an objective does not wait.
-pub(crate) fn patience(objective_ms: Option<u64>, now: Millis) -> Millis {
-    now + Millis(objective_ms.unwrap_or_default() / PATIENCE)
+/// Until when a request that arrived at `now` may wait for another's prefill; without an objective
+/// it does not wait.
+pub(crate) fn prefill_deadline(objective_ms: Option<u64>, now: Millis) -> Millis {
+    now + Millis(objective_ms.unwrap_or_default() / MAX_WAIT_DIVISOR)
 }
 
-/// The most that is remembered for routers that start, counted by upstream and part: 8
-/// bytes each, 44 KB as the store sends them.
-const MOST_REMEMBERED: usize = 4_096;
+/// Maximum number of prefixes saved for routers that start, counted once for each upstream.
+const MAX_SAVED_PREFIXES: usize = 4_096;
 
-/// Tells the other routers of `parts`, if there are any.
-pub(crate) fn share(upstream: &Arc<str>, mut parts: Vec<u64>, stage: Stage) -> Option<Effect> {
-    parts.truncate(MAX_TOLD);
-    let warm = WarmPrefixes { upstream: upstream.clone(), prefixes: parts, stage };
+/// Publishes `prefixes` to the other routers, if there are any.
+pub(crate) fn publish_prefixes(
+    upstream: &Arc<str>,
+    mut prefixes: Vec<u64>,
+    stage: Stage,
+) -> Option<Effect> {
+    prefixes.truncate(MAX_PUBLISHED_PREFIXES);
+    let warm = WarmPrefixes { upstream: upstream.clone(), prefixes, stage };
     (!warm.prefixes.is_empty()).then_some(Effect::PublishPrefixes(warm))
 }
 
 impl State {
-    /// Takes another router's word on an upstream.
+    /// Records prefixes reported by another router.
     pub(crate) fn receive_prefixes(&mut self, warm: &WarmPrefixes, now: Millis) -> Vec<Effect> {
         if !self.upstreams.contains_key(&warm.upstream) {
             return Vec::new();
@@ -53,50 +54,50 @@
         Vec::new()
     }
 
-    /// What is known of warm parts at the upstreams there are, for routers that start,
-    /// and how often it has changed.
+    /// The cached prefixes of current upstreams, for routers that start, and the number of changes
+    /// so far.
     pub fn warm_prefixes(&self) -> (u64, Vec<WarmPrefixes>) {
-        let mut held = self.prefix_index.latest(MOST_REMEMBERED);
-        held.retain(|upstream, _| self.upstreams.contains_key(upstream));
-        let warm =
-            |(upstream, parts)| WarmPrefixes { upstream, prefixes: parts, stage: Stage::Cached };
-        (self.prefix_index.changes(), held.into_iter().map(warm).collect())
+        let mut cached = self.prefix_index.latest(MAX_SAVED_PREFIXES);
+        cached.retain(|upstream, _| self.upstreams.contains_key(upstream));
+        let warm = |(upstream, prefixes)| WarmPrefixes { upstream, prefixes, stage: Stage::Cached };
+        (self.prefix_index.changes(), cached.into_iter().map(warm).collect())
     }
 
-    /// Whether a request that has not been sent should wait: `upstream` is reading
-    /// all that it shares with another, and would read it twice.
-    pub(crate) fn should_wait(&self, id: u64, upstream: &str, now: Millis) -> bool {
+    /// Whether an unsent request should wait because `upstream` is already reading its longest
+    /// prefix.
+    pub(crate) fn should_wait_for_prefill(&self, id: u64, upstream: &str, now: Millis) -> bool {
         let Some(request) = self.requests.get(&id) else {
             return false;
         };
-        let reading = |part: &Prefix| self.prefix_index.is_prefilling(part.hash, upstream, now);
+        let is_prefilling =
+            |prefix: &Prefix| self.prefix_index.is_prefilling(prefix.hash, upstream, now);
         self.settings.mechanisms.waits
             && request.tries.is_empty()
             && now < request.wait_until
-            && request.arrival.prefixes.last().is_some_and(reading)
+            && request.arrival.prefixes.last().is_some_and(is_prefilling)
     }
 
-    /// Lets a request wait a little.
-    pub(crate) fn wait(&mut self, id: u64) -> Vec<Effect> {
+    /// Delays a request.
+    pub(crate) fn delay(&mut self, id: u64) -> Vec<Effect> {
         if let Some(request) = self.requests.get_mut(&id) {
             request.phase = Phase::Waiting;
         }
-        vec![Effect::Wait(LOOK_AGAIN)]
+        vec![Effect::Wait(RECHECK_INTERVAL)]
     }
 
-    /// A request has waited: upstreams are ranked anew, as loads have changed.
+    /// Ranks the upstreams again after a delay, and sends the request.
     pub(crate) fn handle_wait_elapsed(&mut self, id: u64, now: Millis) -> Vec<Effect> {
-        let waiting = |it: &Request| it.phase == Phase::Waiting;
-        if !self.requests.get(&id).is_some_and(waiting) {
+        let is_waiting = |request: &Request| request.phase == Phase::Waiting;
+        if !self.requests.get(&id).is_some_and(is_waiting) {
             return Vec::new();
         }
         self.rank(id, now);
         self.send_next(id, now)
     }
 
-    /// What others should know when a request is sent to `upstream`, which has
-    /// nobody to copy from that is known to hold what it lacks.
-    pub(crate) fn begin_reading(
+    /// Records that `upstream` starts to read the request's prefixes, and publishes this, unless
+    /// the longest one can be copied.
+    pub(crate) fn begin_prefill(
         &mut self,
         id: u64,
         upstream: &Arc<str>,
@@ -104,13 +105,13 @@
     ) -> Option<Effect> {
         let request = self.requests.get(&id)?;
         let last = request.arrival.prefixes.last()?;
-        let elsewhere =
-            self.prefix_index.holders(last.hash).any(|it| self.upstreams.contains_key(it));
-        if !self.settings.path.tracks_prefixes() || elsewhere {
+        let has_source =
+            self.prefix_index.holders(last.hash).any(|holder| self.upstreams.contains_key(holder));
+        if !self.settings.path.tracks_prefixes() || has_source {
             return None;
         }
-        let parts =
+        let prefixes =
             self.prefix_index.record_prefilling(&request.arrival.prefix_hashes(), upstream, now);
-        share(upstream, parts, Stage::Prefilling)
+        publish_prefixes(upstream, prefixes, Stage::Prefilling)
     }
 }
--- a/components/routing/src/selection/ranking.rs
+++ b/components/routing/src/selection/ranking.rs
@@ -1,4 +1,4 @@
-//! Which upstreams a request may go to, the best first.
+//! Ranking of a request's candidates.
 
 use std::sync::Arc;
 
@@ -6,99 +6,101 @@
 use intents::{Intent, Selector};
 
 use crate::beliefs::outlook::Estimate;
-use crate::selection::candidates::Choice;
+use crate::selection::candidates::Selection;
 use crate::state::State;
 use crate::{Arrival, Policy, Upstream};
 
-/// The label that names the pool an upstream belongs to.
+/// Label with the name of an upstream's pool.
 pub(crate) const POOL_LABEL: &str = "service";
 
 impl State {
-    /// Ranks the upstreams that a request may go to, as they are now.
+    /// Ranks the request's candidates by current state.
     pub(crate) fn rank(&mut self, id: u64, now: Millis) {
         let (Some(plan), Some(request)) = (self.plan.clone(), self.requests.get(&id)) else {
             return;
         };
-        let ask = &request.arrival;
-        let Ok(target) = ask.target(&plan) else {
+        let arrival = &request.arrival;
+        let Ok(target) = arrival.target(&plan) else {
             return;
         };
         let estimate = self.estimate(target.intent, now);
-        let Choice { mut candidates, passed, home, first } =
-            self.index.choose(&self.upstreams, &target, ask, &self.settings, &estimate);
-        self.put_warm_first(&mut candidates, ask);
-        let pool = candidates.last().map_or_else(|| asked_pool(target.intent), |it| self.pool(it));
-        let workspace = ask.workspace.clone();
-        self.expect(&pool, target.priority, target.intent.objective_ms);
-        let part = self.share_part(&pool, &workspace, target.priority, now);
-        self.put_in_time_first(&mut candidates, &pool, target.priority, part, &estimate);
+        let Selection { mut candidates, exclusions, home, first_ranked } =
+            self.index.choose(&self.upstreams, &target, arrival, &self.settings, &estimate);
+        self.prefer_warm(&mut candidates, arrival);
+        let pool = candidates
+            .last()
+            .map_or_else(|| named_pool(target.intent), |upstream| self.pool_of(upstream));
+        let workspace = arrival.workspace.clone();
+        self.record_objective(&pool, target.priority, target.intent.objective_ms);
+        let limit_ratio = self.share_limit_ratio(&pool, &workspace, target.priority, now);
+        self.prefer_in_time(&mut candidates, &pool, target.priority, limit_ratio, &estimate);
         if let Some(request) = self.requests.get_mut(&id) {
             request.pool = pool;
             request.estimate = estimate;
             request.candidates = candidates;
-            request.exclusions = passed;
+            request.exclusions = exclusions;
             request.home = home.filter(|_| self.settings.policy == Policy::Directory);
-            request.first_ranked = first;
+            request.first_ranked = first_ranked;
         }
     }
 
-    /// Puts upstreams before the others that hold all that a request may share; `candidates`
-    /// has the best last. An engine that is new draws no prompts from the others then:
-    /// copies cost 0.0091 of what a day is worth in place of 0.0119, by three runs of each
-    /// of five days.
-    fn put_warm_first(&self, candidates: &mut [Arc<str>], ask: &Arrival) {
+    /// Moves candidates that have the longest prefix cached to the front; the best one is last.
+    fn prefer_warm(&self, candidates: &mut [Arc<str>], arrival: &Arrival) {
         if !self.settings.path.tracks_prefixes() || !self.settings.mechanisms.warm_first {
             return;
         }
-        if let Some(part) = ask.prefixes.last() {
-            candidates.sort_by_key(|it| self.prefix_index.holds(part.hash, it));
+        if let Some(prefix) = arrival.prefixes.last() {
+            candidates.sort_by_key(|candidate| self.prefix_index.holds(prefix.hash, candidate));
         }
     }
 
-    /// Ranks anew the upstreams that a request may go to after one failed: some may
-    /// have come to leave since it came. It stays in the pool where it began.
+    /// Ranks the candidates again after a failed attempt, within the pool of the first ranking.
     pub(crate) fn rerank(&mut self, id: u64, now: Millis) {
-        let Some(pool) = self.requests.get(&id).map(|it| it.pool.clone()) else { return };
-        let anew = self.settings.path.reranks_on_retry();
-        if anew {
+        let Some(pool) = self.requests.get(&id).map(|request| request.pool.clone()) else { return };
+        let reranked = self.settings.path.reranks_on_retry();
+        if reranked {
             self.rank(id, now);
         }
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let tried = |name: &Arc<str>| request.tries.iter().any(|it| it.upstream == *name);
-        let fits = |it: &Upstream| !it.is_leaving() && it.pool() == pool && !tried(it.name());
-        // Where there are sidecars, they say themselves who leaves, and send a chat
-        // back to where it has been.
-        let open = |name: &Arc<str>| self.upstreams.get(name).is_some_and(|it| !anew || fits(it));
-        request.candidates.retain(open);
+        let was_tried =
+            |name: &Arc<str>| request.tries.iter().any(|attempt| attempt.upstream == *name);
+        let is_eligible = |upstream: &Upstream| {
+            !upstream.is_leaving() && upstream.pool() == pool && !was_tried(upstream.name())
+        };
+        // Sidecars report that they are leaving, and redirect a chat to its context.
+        let is_open = |name: &Arc<str>| {
+            self.upstreams.get(name).is_some_and(|upstream| !reranked || is_eligible(upstream))
+        };
+        request.candidates.retain(is_open);
         request.pool = pool;
     }
 
-    /// Whether the intents in force let a request go to a listed upstream that
-    /// its candidates may not name.
+    /// Whether the configuration allows the request at a listed upstream, which need not be a
+    /// candidate.
     pub(crate) fn is_allowed(&self, id: u64, upstream: &str) -> bool {
         let (Some(plan), Some(request)) = (&self.plan, self.requests.get(&id)) else {
             return false;
         };
-        let ask = &request.arrival;
-        let Ok(target) = ask.target(plan) else {
+        let arrival = &request.arrival;
+        let Ok(target) = arrival.target(plan) else {
             return false;
         };
-        let fits = |it: &Upstream| {
-            target.intent.fits(&it.labels, &it.host.domain, ask.model.as_deref())
-                && Selector::all(target.homes, &it.labels)
+        let is_allowed = |upstream: &Upstream| {
+            target.intent.fits(&upstream.labels, &upstream.host.domain, arrival.model.as_deref())
+                && Selector::all(target.homes, &upstream.labels)
         };
-        self.upstreams.get(upstream).is_some_and(fits)
+        self.upstreams.get(upstream).is_some_and(is_allowed)
     }
 
-    /// The pool of an upstream: the retry budget is kept for each.
-    fn pool(&self, upstream: &str) -> Arc<str> {
+    /// Pool of an upstream; each has its own retry budget.
+    fn pool_of(&self, upstream: &str) -> Arc<str> {
         self.upstreams.get(upstream).map(Upstream::pool).unwrap_or_default()
     }
 
-    /// The view on the pool of an intent's upstreams.
+    /// Load estimates for the pool of an intent.
     pub(crate) fn estimate(&self, intent: &Intent, now: Millis) -> Estimate {
-        let mean_load = self.mean_loads.get(&asked_pool(intent)).copied().unwrap_or_default();
-        #[expect(clippy::cast_precision_loss, reason = "fleets are small beside 2^53")]
+        let mean_load = self.mean_loads.get(&named_pool(intent)).copied().unwrap_or_default();
+        #[expect(clippy::cast_precision_loss, reason = "router counts are exact in f64")]
         let routers = self.router_count as f64;
         let loads_known = self.settings.mechanisms.loads && self.peers.has_loads(now);
         let observations_shared = self.peers.has_observations(now);
@@ -117,9 +119,9 @@
     }
 }
 
-/// The pool that an intent names; empty if it names none.
-fn asked_pool(intent: &Intent) -> Arc<str> {
-    let named = intent.upstreams.iter().find_map(|it| match it {
+/// Pool that an intent selects by name; empty if there is none.
+fn named_pool(intent: &Intent) -> Arc<str> {
+    let named = intent.upstreams.iter().find_map(|selector| match selector {
         Selector::Equals { label, value } if &**label == POOL_LABEL => Some(value.clone()),
         _ => None,
     });
--- a/components/routing/src/settings.rs
+++ b/components/routing/src/settings.rs
@@ -1,4 +1,4 @@
-//! What an operator may set about a router's decisions.
+//! Settings of a router's decisions.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,98 +9,89 @@
 
 use crate::{Mechanisms, Path};
 
-/// How an upstream is chosen among those that fit.
+/// How an upstream is selected among the eligible ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Policy {
-    /// Any; to compare with.
+    /// Uniformly at random; for comparison.
     Random,
-    /// The one that is known to carry least; to compare with.
+    /// The least loaded; for comparison.
     Lightest,
-    /// The first in rank by rendezvous hashing, under the load bound.
+    /// First by rendezvous hashing, within the load bound.
     Ranked,
-    /// The same, and the first in rank knows where a chat went that could not
-    /// be served there.
+    /// Like `Ranked`, with a directory of moved chats at the first upstream in rank.
     #[default]
     Directory,
 }
 
-/// The settings of the reducer.
+/// Settings of the reducer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// How an upstream is chosen.
+    /// Selection policy.
     pub policy: Policy,
     /// How upstreams are reached.
     pub path: Path,
-    /// Which mechanisms are in use.
+    /// Enabled mechanisms.
     pub mechanisms: Mechanisms,
-    /// How old the proof may be that the configuration in force is the newest,
-    /// in milliseconds; callers with a key are refused beyond it. Zero asks for
-    /// no proof.
+    /// Maximum age of the confirmation that the configuration is the newest, in milliseconds;
+    /// requests with a key are refused beyond it. Zero disables the check.
     pub current_ms: u64,
-    /// The same for being ready: beyond it callers are better sent to a router
-    /// that still hears from the store.
+    /// The same for readiness: beyond it, callers should go to a router with a newer confirmation.
     pub ready_ms: u64,
-    /// The same for an answer that something is unknown to the configuration.
+    /// The same for answers that something is not in the configuration.
     pub unknown_ms: u64,
-    /// The load bound, as far as the router applies it beforehand.
+    /// Load bound that the router enforces before sending.
     pub bound: Bound,
-    /// The same while other routers tell their own loads, so that loads are known.
+    /// Load bound while other routers report their loads.
     pub known_bound: Bound,
-    /// How many times its pool's rate of requests a cold upstream bears in a second.
+    /// Multiple of the pool's `cold_per_s` that a cold upstream may get per second.
     pub cold_multiple: f64,
-    /// How many requests more it bears in a second.
+    /// Requests per second added to that.
     pub cold_extra: f64,
-    /// What workspaces count where a pool is short; 1 for those that are not named.
+    /// Weights of workspaces in saturated pools; 1 if not listed.
     pub weights: BTreeMap<Arc<str>, f64>,
-    /// How many times what it was sent beyond its share a workspace gives back while others
-    /// lack room; at zero only what would wait for long is refused first.
+    /// Multiple of its excess that a workspace over its share gives back while others are starving;
+    /// at zero, only its requests with long waits are refused first.
     pub gives_back: f64,
-    /// The region of each failure domain, where intents name regions.
+    /// Region of each failure domain, for intents that name regions.
     pub regions: BTreeMap<Arc<str>, Arc<str>>,
-    /// How long a sidecar's word on its load counts, in milliseconds.
+    /// Maximum age of a sidecar's load report, in milliseconds.
     pub fresh_ms: u64,
-    /// The most attempts of one request, the first included.
+    /// Maximum number of attempts of a request, including the first.
     pub max_attempts: u32,
-    /// Retries earned by each request, as a share of one.
+    /// Retries earned per request.
     pub retry_share: f64,
-    /// Retries that may be saved up.
+    /// Maximum number of saved retries.
     pub retry_burst: f64,
-    /// Hops to another upstream after a refusal over load, earned by each
-    /// request, as a share of one.
+    /// Retries after refusals over load, earned per request.
     pub hop_share: f64,
-    /// Hops that may be saved up.
+    /// Maximum number of saved retries after refusals over load.
     pub hop_burst: f64,
-    /// How long a sidecar may take to say whether it takes a request, in
-    /// milliseconds; it does so at once unless it is frozen or cut off.
+    /// Time within which a sidecar must admit or refuse a request, in milliseconds.
     pub admit_ms: u64,
-    /// How long an upstream is left alone after its first failure, in
-    /// milliseconds; doubled with each further one.
+    /// Backoff after the first failure of an upstream, in milliseconds; doubled with each further
+    /// failure.
     pub suspect_ms: u64,
-    /// The longest an upstream is left alone, in milliseconds.
+    /// Maximum backoff of an upstream, in milliseconds.
     pub suspect_max_ms: u64,
-    /// After how many upstreams have ended under it work is held back.
+    /// Number of crashed upstreams after which work is quarantined.
     pub quarantine_ends: usize,
-    /// For how long after the last of these ends, in milliseconds.
+    /// Duration of the quarantine after the last crash, in milliseconds.
     pub quarantine_ms: u64,
-    /// The most connections that are opened at a time in the background.
+    /// Maximum number of connections opened at a time in the background.
     pub connects: usize,
-    /// How many decisions are kept for explaining.
+    /// Number of decisions kept for the explain endpoint.
     pub decisions: usize,
-    /// When a refused caller is told to come back at the earliest, in
-    /// milliseconds.
+    /// Shortest time after which a refused caller may retry, in milliseconds.
     pub retry_after_ms: u64,
-    /// The same where the configuration can't be confirmed, which lasts as long
-    /// as an outage of the store.
+    /// The same where the configuration can't be confirmed.
     pub stale_retry_after_ms: u64,
-    /// The same where another router can confirm it, and a new connection leads
-    /// there.
+    /// The same where another router has a confirmed configuration.
     pub elsewhere_retry_after_ms: u64,
-    /// The same where all upstreams are in failure domains that are to take nothing: routers
-    /// learn that one is taken back with a look at the store.
+    /// The same where all upstreams are in evacuated failure domains.
     pub evacuated_retry_after_ms: u64,
-    /// What is set about the places of pools that are short of them.
+    /// Settings of permits for saturated pools.
     pub places: permits::Settings,
 }
 
@@ -143,8 +134,7 @@
 }
 
 impl Settings {
-    /// When a caller that is refused for `kind` is told to come back at the
-    /// earliest, in milliseconds.
+    /// Shortest time after which a caller refused for `kind` may retry, in milliseconds.
     pub fn retry_after_ms(&self, kind: Kind) -> u64 {
         match kind {
             Kind::StaleConfiguration => self.stale_retry_after_ms,
--- a/components/routing/src/state.rs
+++ b/components/routing/src/state.rs
@@ -1,4 +1,4 @@
-//! The state of a router and the events that concern the whole of it.
+//! The router's state and the events that concern all of it.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -22,7 +22,7 @@
 use crate::selection::candidates::{Index, Upstreams};
 use crate::{Budget, Effect, Event, Settings, Upstream};
 
-/// Everything that a router knows.
+/// State of a router's reducer.
 #[derive(Debug)]
 pub struct State {
     pub(crate) settings: Settings,
@@ -30,47 +30,47 @@
     pub(crate) upstreams: Upstreams,
     pub(crate) index: Index,
     pub(crate) requests: HashMap<u64, Request>,
-    /// Retries after faults, for each pool of upstreams.
+    /// Budgets for retries after failures, by pool.
     pub(crate) retry_budgets: HashMap<Arc<str>, Budget>,
-    /// Hops after refusals over load, which did not run.
+    /// Budget for retries after refusals over load, where these are counted separately.
     pub(crate) hop_budget: Budget,
-    /// The mean load of each pool's upstreams, as answers tell it.
+    /// Mean observed load of an upstream, by pool.
     pub(crate) mean_loads: HashMap<Arc<str>, f64>,
-    /// What has passed through each pool.
+    /// Wait estimates and retry bookings, by pool.
     pub(crate) flows: BTreeMap<Arc<str>, Flow>,
-    /// What is asked of each pool, and by whom.
+    /// Demand by pool and workspace.
     pub(crate) shares: Shares,
-    /// Among how many routers the retry budget is divided.
+    /// Routers that share the retry budgets.
     pub(crate) router_count: usize,
-    /// The failure domains that are to take nothing.
+    /// Evacuated failure domains.
     pub(crate) evacuated: BTreeSet<Arc<str>>,
-    /// The routers that share what cold upstreams bear.
+    /// Announced routers, which share the quotas of cold upstreams.
     pub(crate) members: Members,
-    /// Set once the router is to stop.
+    /// Set while the router drains.
     pub(crate) drain: Option<Drain>,
-    /// How long answers took lately.
+    /// Durations of recent answers, by kind.
     pub(crate) durations: Durations,
-    /// Where parts of prompts are warm; kept for direct upstreams only.
+    /// Prompt prefixes cached at upstreams; only for upstreams reached directly.
     pub(crate) prefix_index: PrefixIndex,
-    /// When the configuration in force was last known to be the newest.
+    /// When the current configuration was last confirmed to be the newest.
     pub(crate) confirmed_at: Option<Millis>,
-    /// Under what work upstreams ended.
+    /// Work under which upstreams crashed.
     pub(crate) quarantine: Quarantine,
-    /// What upstreams have said of themselves.
+    /// Upstreams that are leaving or asked for a pause.
     pub(crate) upstream_notices: Notices,
-    /// What other routers told of their own load.
+    /// Loads reported by other routers.
     pub(crate) peers: Peers,
-    /// The pools that are short of places.
+    /// Saturated pools.
     pub(crate) saturation: Saturation,
-    /// What has come to be believed of upstreams while an event was taken.
+    /// Effects of the current event that do not concern its request.
     pub(crate) pending_effects: Vec<Effect>,
     pub(crate) rng: ChaCha8Rng,
 }
 
 impl State {
-    /// A router that knows nothing yet; `seed` decides its jitter.
+    /// Creates an empty state; `seed` determines its random choices.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let hops = Budget::new(settings.hop_share, settings.hop_burst);
+        let hop_budget = Budget::new(settings.hop_share, settings.hop_burst);
         let shares = Shares::new(&settings.weights);
         Self {
             settings,
@@ -79,7 +79,7 @@
             index: Index::default(),
             requests: HashMap::new(),
             retry_budgets: HashMap::new(),
-            hop_budget: hops,
+            hop_budget,
             mean_loads: HashMap::new(),
             flows: BTreeMap::new(),
             shares,
@@ -99,28 +99,28 @@
         }
     }
 
-    /// The configuration in force, if there is one.
+    /// The current configuration, if any.
     pub fn plan(&self) -> Option<&Arc<Plan>> {
         self.plan.as_ref()
     }
 
-    /// The generation of the configuration in force; 0 if there is none.
+    /// Generation of the current configuration; 0 if there is none.
     pub(crate) fn generation(&self) -> u64 {
-        self.plan.as_ref().map_or(0, |it| it.generation())
+        self.plan.as_ref().map_or(0, |plan| plan.generation())
     }
 
-    /// The upstreams known, by name.
+    /// All known upstreams.
     pub fn upstreams(&self) -> impl Iterator<Item = &Upstream> {
         self.upstreams.values()
     }
 
-    /// How many requests have not got their final answer.
+    /// Number of requests without a final answer.
     pub fn in_flight(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether new requests may be sent here: a configuration is in force, an
-    /// upstream is up, and the router is not stopping.
+    /// Whether the router accepts new requests: it has a confirmed configuration and an upstream
+    /// that is up, and is not draining.
     pub fn is_ready(&self, now: Millis) -> bool {
         let up = self.upstreams.values().any(|upstream| upstream.is_up(now));
         let up = up || self.settings.path.trusts_listing();
@@ -128,19 +128,18 @@
         self.plan.is_some() && up && proved && self.drain.is_none()
     }
 
-    /// Whether the configuration in force is proved to have been the newest in
-    /// the last `within` milliseconds; zero asks for no proof.
+    /// Whether the current configuration was confirmed to be the newest in the last `within`
+    /// milliseconds; always true for zero.
     pub fn is_confirmed_within(&self, within: u64, now: Millis) -> bool {
         within == 0 || self.confirmed_at.is_some_and(|at| at.until(now).0 <= within)
     }
 
-    /// How long ago the configuration in force was known to be the newest.
+    /// Time since the current configuration was last confirmed, in milliseconds.
     pub fn confirmation_age_ms(&self, now: Millis) -> Option<u64> {
         self.confirmed_at.map(|at| at.until(now).0)
     }
 
-    /// When a caller that is refused for `kind` is told to come back at the earliest,
-    /// in milliseconds.
+    /// Shortest time after which a caller refused for `kind` may retry, in milliseconds.
     pub fn retry_after_ms(&self, kind: Kind, now: Millis) -> u64 {
         let elsewhere = matches!(kind, Kind::StaleConfiguration | Kind::Draining);
         if elsewhere && self.has_current_peer(now) {
@@ -149,11 +148,11 @@
         self.settings.retry_after_ms(kind)
     }
 
-    /// Takes one event and returns what is to be done about it.
+    /// Applies an event and returns the resulting effects.
     ///
-    /// Effects of an event about one request all concern that request, apart
-    /// from `Drained`, `Share`, `Suspect`, `Revive`, `Leave`, `Rest`, `Check`, `Report`, `Clear`,
-    /// `HoldBack`, `Release` and `RunsShort`.
+    /// Effects of an event about one request concern that request, except `Drained`,
+    /// `PublishPrefixes`, `Suspect`, `Recovered`, `Leaving`, `Backoff`, `Check`, `ReportCrashes`,
+    /// `ReportCleared`, `Quarantine`, `Release` and `ReportSaturation`.
     pub fn apply(&mut self, event: Event, now: Millis) -> Vec<Effect> {
         let mut effects = self.handle(event, now);
         effects.append(&mut self.pending_effects);
@@ -239,7 +238,7 @@
         }
     }
 
-    /// Requests under way keep what was decided on them.
+    /// Replaces the settings; requests in flight keep earlier decisions.
     fn update_settings(&mut self, settings: Settings) -> Vec<Effect> {
         self.shares.set_weights(&settings.weights);
         self.settings = settings;
@@ -248,7 +247,7 @@
         Vec::new()
     }
 
-    /// A lower or equal generation changes nothing.
+    /// Replaces the configuration unless its generation is not newer.
     fn configure(&mut self, plan: Arc<Plan>, now: Millis) -> Vec<Effect> {
         if plan.generation() <= self.generation() {
             return Vec::new();
--- a/components/routing/tests/direct/decisions.rs
+++ b/components/routing/tests/direct/decisions.rs
@@ -1,4 +1,4 @@
-//! What a router decides that reaches its upstreams directly.
+//! Selection of upstreams, retries and recorded decisions.
 
 use std::sync::Arc;
 
@@ -12,21 +12,21 @@
 use wire::{Chunk, End, Head, Refused, Status};
 
 #[test]
-fn a_chat_stays_at_its_upstream_until_the_bound() {
+fn keeps_a_chat_at_its_upstream_up_to_the_load_bound() {
     let mut state = router(settings());
-    let first = sent_to(&state.apply(arrival(1, "stream", "chat"), NOW)).expect("a place");
-    let places: Vec<_> = (2..8)
+    let first = sent_to(&state.apply(arrival(1, "stream", "chat"), NOW)).expect("an upstream");
+    let upstreams: Vec<_> = (2..8)
         .map(|id| sent_to(&state.apply(arrival(id, "stream", "chat"), NOW)).unwrap())
         .collect();
-    let stayed = places.iter().take_while(|it| **it == first).count() + 1;
-    // Four upstreams, L requests: at most max(4, 2 L / 4 + 2) at each.
-    assert_eq!(stayed, 4);
-    assert_ne!(places[3], first);
+    let sent_to_first = upstreams.iter().take_while(|upstream| **upstream == first).count() + 1;
+    // The bound at each of 4 upstreams with n requests is max(4, 2 n / 4 + 2).
+    assert_eq!(sent_to_first, 4);
+    assert_ne!(upstreams[3], first);
 }
 
 #[test]
-fn what_an_answer_told_of_load_fades() {
-    let loaded = || {
+fn observed_load_decays() {
+    let loaded_router = || {
         let mut state = router(settings());
         for engine in 0..4 {
             let upstream: Arc<str> = format!("engine-{engine}").into();
@@ -34,22 +34,22 @@
         }
         state
     };
-    let held = |state: &mut State, start: u64, now: Millis| {
+    let sent_to_first = |state: &mut State, start: u64, now: Millis| {
         state.apply(Event::ConfigurationConfirmed { at: now }, now);
-        let mut places = (start..start + 100)
+        let mut upstreams = (start..start + 100)
             .map(|id| sent_to(&state.apply(arrival(id, "stream", "chat"), now)).unwrap());
-        let first = places.next().unwrap();
-        1 + places.take_while(|it| *it == first).count()
+        let first = upstreams.next().unwrap();
+        1 + upstreams.take_while(|upstream| *upstream == first).count()
     };
-    // The mean is 40: twice that and two more may be at one, 40 are there.
-    assert!(held(&mut loaded(), 100, NOW) > 30);
-    // Ten seconds later nothing is left of it.
-    assert!(held(&mut loaded(), 100, NOW + Millis(10_000)) <= 6);
+    // The mean load is 40, and the bound 2 * 40 + 2.
+    assert!(sent_to_first(&mut loaded_router(), 100, NOW) > 30);
+    // The observed load has decayed after ten seconds.
+    assert!(sent_to_first(&mut loaded_router(), 100, NOW + Millis(10_000)) <= 6);
 }
 
 #[test]
-fn a_router_among_many_expects_others_to_send_where_it_sends() {
-    let stayed = |routers: usize| {
+fn estimates_other_routers_load_from_its_own() {
+    let sent_to_first = |routers: usize| {
         let mut state = router(settings());
         state.apply(Event::RouterCount(routers), NOW);
         for number in 0..200 {
@@ -57,82 +57,83 @@
             state.apply(Event::Load { upstream, requests: 4, waiting: 0 }, NOW);
         }
         let now = NOW + Millis(2_900);
-        let mut places = (1..40)
-            .map(|id| sent_to(&state.apply(arrival(id, "stream", "chat"), now)).expect("a place"));
-        let first = places.next();
-        1 + places.take_while(|it| Some(it) == first.as_ref()).count()
+        let mut upstreams = (1..40).map(|id| {
+            sent_to(&state.apply(arrival(id, "stream", "chat"), now)).expect("an upstream")
+        });
+        let first = upstreams.next();
+        1 + upstreams.take_while(|upstream| Some(upstream) == first.as_ref()).count()
     };
-    assert_eq!((stayed(1), stayed(30)), (4, 2));
+    assert_eq!((sent_to_first(1), sent_to_first(30)), (4, 2));
 }
 
 #[test]
-fn callers_are_refused_without_a_proof_of_the_configuration() {
+fn refuses_requests_without_a_recent_confirmation() {
     let mut state = router(settings());
     assert!(sent_to(&state.apply(arrival(1, "safe", "r-1"), NOW + Millis(3_000))).is_some());
     let late = state.apply(arrival(2, "safe", "r-2"), NOW + Millis(3_001));
     assert_eq!(failure(&late), Some(Kind::StaleConfiguration));
     state.apply(Event::ConfigurationConfirmed { at: NOW + Millis(3_000) }, NOW + Millis(3_010));
-    // A proof that comes late does not make an older one count again.
+    // A late confirmation does not restore an older one.
     state.apply(Event::ConfigurationConfirmed { at: NOW }, NOW + Millis(3_020));
     assert!(sent_to(&state.apply(arrival(3, "safe", "r-3"), NOW + Millis(6_000))).is_some());
 }
 
 #[test]
-fn what_may_have_run_is_told_as_such_whatever_comes_after() {
+fn reports_an_attempt_that_may_have_run_after_later_refusals() {
     let mut state = router(settings());
     state.apply(arrival(1, "safe", "r-1"), NOW);
-    let again = state.apply(Event::ConnectionFailed { id: 1, attempt: 1, sent: true }, NOW);
-    assert!(sent_to(&again).is_some());
+    let effects = state.apply(Event::ConnectionFailed { id: 1, attempt: 1, sent: true }, NOW);
+    assert!(sent_to(&effects).is_some());
     let end = state.apply(Event::Reply { id: 1, attempt: 2, reply: refusal() }, NOW);
     assert_eq!(failure(&end), Some(Kind::LinkLost));
 
     state.apply(arrival(2, "unsafe", "r-2"), NOW);
     let end = state.apply(Event::ConnectionFailed { id: 2, attempt: 1, sent: true }, NOW);
-    assert_eq!((sent_to(&end), failure(&end).map(|it| it.row().status)), (None, Some(502)));
+    assert_eq!((sent_to(&end), failure(&end).map(|kind| kind.row().status)), (None, Some(502)));
 }
 
 #[test]
-fn the_retry_budget_of_one_service_is_no_others() {
+fn retry_budgets_are_separate_for_each_pool() {
     let mut state = router(settings());
-    let lose = |state: &mut State, id: u64, kind: &str| {
+    let is_retried = |state: &mut State, id: u64, kind: &str| {
         state.apply(arrival(id, kind, &format!("c-{id}")), NOW);
         sent_to(&state.apply(Event::Reply { id, attempt: 1, reply: refusal() }, NOW)).is_some()
     };
-    let plain: Vec<_> = (1..5).map(|id| lose(&mut state, id, "unsafe")).collect();
-    assert_eq!(plain, [true, true, false, false]);
-    assert!(lose(&mut state, 10, "stream"));
+    let results: Vec<_> = (1..5).map(|id| is_retried(&mut state, id, "unsafe")).collect();
+    assert_eq!(results, [true, true, false, false]);
+    assert!(is_retried(&mut state, 10, "stream"));
 }
 
 #[test]
-fn the_retry_budget_is_divided_among_the_routers() {
+fn divides_the_retry_budget_among_routers() {
     let mut state = router(Settings { retry_burst: 12.0, ..settings() });
     state.apply(Event::RouterCount(4), NOW);
-    let again = |state: &mut State, id: u64| {
+    let is_retried = |state: &mut State, id: u64| {
         state.apply(arrival(id, "unsafe", &format!("c-{id}")), NOW);
         sent_to(&state.apply(Event::Reply { id, attempt: 1, reply: refusal() }, NOW)).is_some()
     };
-    assert_eq!((1..20).filter(|id| again(&mut state, *id)).count(), 3);
-    // More routers take from what was saved up.
+    assert_eq!((1..20).filter(|id| is_retried(&mut state, *id)).count(), 3);
+    // An increase in routers reduces the saved retries.
     let mut state = router(Settings { retry_burst: 12.0, ..settings() });
-    assert!(again(&mut state, 100));
+    assert!(is_retried(&mut state, 100));
     state.apply(Event::RouterCount(12), NOW);
-    assert_eq!((1..20).filter(|id| again(&mut state, *id)).count(), 1);
+    assert_eq!((1..20).filter(|id| is_retried(&mut state, *id)).count(), 1);
 }
 
 #[test]
 fn new_settings_do_not_refill_the_retry_budget() {
     let mut state = router(settings());
-    let again = |state: &mut State, id: u64| {
+    let is_retried = |state: &mut State, id: u64| {
         state.apply(arrival(id, "unsafe", &format!("c-{id}")), NOW);
         sent_to(&state.apply(Event::Reply { id, attempt: 1, reply: refusal() }, NOW)).is_some()
     };
-    assert_eq!((1..9).filter(|id| again(&mut state, *id)).count(), 2);
+    assert_eq!((1..9).filter(|id| is_retried(&mut state, *id)).count(), 2);
     state.apply(Event::Settings(Box::new(settings())), NOW);
-    assert_eq!((10..19).filter(|id| again(&mut state, *id)).count(), 0);
+    assert_eq!((10..19).filter(|id| is_retried(&mut state, *id)).count(), 0);
 }
 
 #[test]
-fn no_more_upstreams_are_asked_than_the_route_allows() {
+fn tries_no_more_upstreams_than_the_intent_allows() {
     let mut state = router(Settings { retry_burst: 100.0, ..settings() });
     state.apply(arrival(1, "stream", "chat"), NOW);
     assert!(
@@ -143,7 +144,7 @@
 }
 
 #[test]
-fn a_failure_is_passed_on_when_no_other_upstream_may_be_asked() {
+fn passes_on_a_failure_when_no_retry_is_allowed() {
     let mut state = router(settings());
     let head = |attempt| Reply::Head(Head { attempt, status: 500, headers: Vec::new() });
     state.apply(arrival(1, "unsafe", "r-1"), NOW);
@@ -157,10 +158,12 @@
 }
 
 #[test]
-fn one_broken_connection_does_not_make_an_upstream_suspect_but_two_do() {
+fn marks_an_upstream_suspect_after_two_broken_connections() {
     let mut state = router(settings());
-    let upstream = sent_to(&state.apply(arrival(1, "stream", "chat"), NOW)).expect("a place");
-    let up = |state: &State| state.upstreams().any(|it| it.name() == &upstream && it.is_up(NOW));
+    let upstream = sent_to(&state.apply(arrival(1, "stream", "chat"), NOW)).expect("an upstream");
+    let up = |state: &State| {
+        state.upstreams().any(|candidate| candidate.name() == &upstream && candidate.is_up(NOW))
+    };
     state.apply(Event::ConnectionFailed { id: 1, attempt: 1, sent: true }, NOW);
     assert!(up(&state));
     state.apply(arrival(2, "stream", "chat"), NOW);
@@ -169,74 +172,75 @@
 }
 
 #[test]
-fn an_upstream_that_was_never_reached_uses_up_no_attempt() {
-    // The intent allows two upstreams, and no retry is left to spend.
+fn failed_connections_do_not_count_as_attempts() {
+    // The intent allows two upstreams, and the retry budget is empty.
     let mut state = router(Settings { retry_burst: 0.0, ..settings() });
-    let lose = |state: &mut State, attempt| {
+    let fail_attempt = |state: &mut State, attempt| {
         state.apply(Event::ConnectionFailed { id: 1, attempt, sent: false }, NOW)
     };
     state.apply(arrival(1, "stream", "chat"), NOW);
-    assert!(sent_to(&lose(&mut state, 1)).is_some());
-    assert!(sent_to(&lose(&mut state, 2)).is_some());
-    assert!(sent_to(&lose(&mut state, 3)).is_some());
-    let end = lose(&mut state, 4);
+    assert!(sent_to(&fail_attempt(&mut state, 1)).is_some());
+    assert!(sent_to(&fail_attempt(&mut state, 2)).is_some());
+    assert!(sent_to(&fail_attempt(&mut state, 3)).is_some());
+    let end = fail_attempt(&mut state, 4);
     assert_eq!((sent_to(&end), failure(&end)), (None, Some(Kind::Unreachable)));
 }
 
 #[test]
-fn an_upstream_whose_address_is_anothers_now_gets_no_further_requests() {
+fn sends_nothing_to_an_upstream_whose_address_was_reassigned() {
     let mut state = router(settings());
-    let misdirected = || {
+    let leaving = || {
         let (hints, status) = (Vec::new(), Status::default());
         Reply::Refused(Refused { kind: Kind::Leaving, retry_after_ms: 0, hints, status })
     };
-    let first = sent_to(&state.apply(arrival(1, "stream", "chat"), NOW)).expect("a place");
-    state.apply(Event::Reply { id: 1, attempt: 1, reply: misdirected() }, NOW);
+    let first = sent_to(&state.apply(arrival(1, "stream", "chat"), NOW)).expect("an upstream");
+    state.apply(Event::Reply { id: 1, attempt: 1, reply: leaving() }, NOW);
     let later = NOW + Millis(2_500);
     assert_ne!(sent_to(&state.apply(arrival(2, "stream", "chat"), later)), Some(first));
 }
 
-/// The upstreams of the tests, changed by `change`.
-fn changed(change: impl Fn(&mut routing::Host) -> bool) -> Event {
+/// The hosts of the fixture, edited and filtered by `change`.
+fn hosts_with(change: impl Fn(&mut routing::Host) -> bool) -> Event {
     let state = router(settings());
-    let hosts = state.upstreams().map(|it| it.host().clone());
-    Event::Hosts(hosts.filter_map(|mut it| change(&mut it).then_some(it)).collect())
+    let hosts = state.upstreams().map(|upstream| upstream.host().clone());
+    Event::Hosts(hosts.filter_map(|mut host| change(&mut host).then_some(host)).collect())
 }
 
 #[test]
-fn an_upstream_that_leaves_after_a_request_came_is_not_tried_next() {
+fn does_not_retry_at_an_upstream_that_started_leaving() {
     for kind in ["safe", "stream"] {
         let mut state = router(Settings { retry_burst: 9.0, ..settings() });
-        let first = sent_to(&state.apply(arrival(1, kind, "chat"), NOW)).expect("a place");
-        // All others leave but the last.
+        let first = sent_to(&state.apply(arrival(1, kind, "chat"), NOW)).expect("an upstream");
         let last: Arc<str> = if kind == "safe" { "plain-1" } else { "engine-3" }.into();
         let last = if first == last { first.clone() } else { last };
         state.apply(
-            changed(|it| {
-                it.leaving = it.name != last;
+            hosts_with(|host| {
+                host.leaving = host.name != last;
                 true
             }),
             NOW,
         );
         let effects = state.apply(Event::ConnectionFailed { id: 1, attempt: 1, sent: true }, NOW);
         let next = sent_to(&effects);
-        assert!(next.is_none() || next == Some(last.clone()), "{next:?} is leaving");
+        assert!(
+            next.is_none() || next == Some(last.clone()),
+            "retried at {next:?}, which is leaving"
+        );
         assert_eq!(next.is_none(), last == first);
     }
 }
 
 #[test]
-fn an_upstream_that_is_gone_since_a_request_came_is_not_tried_next() {
+fn does_not_retry_at_a_removed_upstream() {
     let mut state = router(Settings { retry_burst: 9.0, ..settings() });
-    let first = sent_to(&state.apply(arrival(1, "stream", "chat"), NOW)).expect("a place");
-    state.apply(changed(|it| it.name == first), NOW);
+    let first = sent_to(&state.apply(arrival(1, "stream", "chat"), NOW)).expect("an upstream");
+    state.apply(hosts_with(|host| host.name == first), NOW);
     let effects = state.apply(Event::ConnectionFailed { id: 1, attempt: 1, sent: true }, NOW);
-    // Nobody is left: the caller hears of it at once.
     assert_eq!(failure(&effects), Some(Kind::LinkLost));
 }
 
 #[test]
-fn a_decision_tells_when_its_answer_began_and_how_long_it_paused() {
+fn records_answer_start_and_longest_gap() {
     let mut state = router(settings());
     state.apply(arrival_with_prefixes(1, "stream", "chat", &[11, 12]), NOW);
     let reply = |state: &mut State, reply: Reply, ms: u64| {
@@ -256,16 +260,16 @@
     assert_eq!((decision.tries[0].read, decision.tries[0].copied), (200, 0));
 }
 
-/// What is done about two requests for the same parts, with `mechanisms` in use.
-fn twice(mechanisms: Mechanisms) -> Vec<Effect> {
+/// Effects of the second of two requests with the same prefix.
+fn repeat_prefix(mechanisms: Mechanisms) -> Vec<Effect> {
     let mut state = router(Settings { mechanisms, ..settings() });
     state.apply(arrival_with_prefixes(1, "stream", "chat", &[11]), NOW);
     state.apply(arrival_with_prefixes(2, "stream", "chat", &[11]), NOW)
 }
 
 #[test]
-fn a_mechanism_that_is_switched_off_decides_nothing() {
-    assert!(matches!(twice(Mechanisms::default())[..], [Effect::Wait(_)]));
-    let off = Mechanisms { waits: false, ..Mechanisms::default() };
-    assert!(sent_to(&twice(off)).is_some());
+fn sends_at_once_when_prefill_waits_are_disabled() {
+    assert!(matches!(repeat_prefix(Mechanisms::default())[..], [Effect::Wait(_)]));
+    let without_waits = Mechanisms { waits: false, ..Mechanisms::default() };
+    assert!(sent_to(&repeat_prefix(without_waits)).is_some());
 }
--- a/components/routing/tests/direct/stopping.rs
+++ b/components/routing/tests/direct/draining.rs
@@ -1,4 +1,4 @@
-//! Which requests a router that stops still takes.
+//! Requests that a draining router still accepts.
 
 use clock::Millis;
 use errors::Kind;
@@ -7,10 +7,10 @@
 
 use crate::fixture::{NOW, arrival, failure, router, sent_to, settings};
 
-/// When requests in flight are cut.
-const UNTIL: Millis = Millis(1_006_000);
+/// When requests in flight are aborted.
+const DRAIN_END: Millis = Millis(1_006_000);
 
-/// Has a request answered that takes `took` in all.
+/// Answers a request in `took`.
 fn answer(state: &mut State, id: u64, took: Millis) -> Vec<Effect> {
     let reply = |reply| Event::Reply { id, attempt: 1, reply };
     let head = Head { attempt: 1, status: 200, headers: Vec::new() };
@@ -21,64 +21,62 @@
     state.apply(reply(Reply::End(end)), NOW + took)
 }
 
-/// A router that stops, has seen a stream of 800 ms and has one in flight.
-fn stopping() -> State {
+/// A draining router that has observed a stream of 800 ms and has another in flight.
+fn draining_router() -> State {
     let mut state = router(settings());
     state.apply(arrival(1, "stream", "chat"), NOW);
     answer(&mut state, 1, Millis(800));
     state.apply(arrival(2, "stream", "chat"), NOW);
-    state.apply(Event::Drain { until: UNTIL }, NOW);
+    state.apply(Event::Drain { until: DRAIN_END }, NOW);
     state
 }
 
-/// Asserts that a request of `kind` is taken as long as `room` is left, and not later.
-fn takes_until(room: Millis, kind: &str) {
-    let mut state = stopping();
-    state.apply(Event::ConfigurationConfirmed { at: UNTIL }, NOW);
-    let last = Millis(UNTIL.0 - room.0);
+/// Asserts that a request of `kind` is accepted until `margin` before the end, and not later.
+fn assert_accepted_until(margin: Millis, kind: &str) {
+    let mut state = draining_router();
+    state.apply(Event::ConfigurationConfirmed { at: DRAIN_END }, NOW);
+    let last = Millis(DRAIN_END.0 - margin.0);
     assert!(sent_to(&state.apply(arrival(3, kind, "chat"), last)).is_some());
     let late = state.apply(arrival(4, kind, "chat"), last + Millis(1));
     assert_eq!(failure(&late), Some(Kind::Draining));
 }
 
 #[test]
-fn a_request_is_taken_that_will_have_ended_in_time() {
-    // Half as long again as the longest seen.
-    takes_until(Millis(1_200), "stream");
+fn accepts_requests_that_will_end_in_time() {
+    // 1.5 times the longest observed duration.
+    assert_accepted_until(Millis(1_200), "stream");
 }
 
 #[test]
-fn a_request_of_a_kind_without_answers_is_taken_only_for_as_long_as_it_may_last() {
-    // Its deadline.
-    takes_until(Millis(5_000), "safe");
+fn uses_the_deadline_for_kinds_without_observed_answers() {
+    // The deadline of the intent.
+    assert_accepted_until(Millis(5_000), "safe");
 }
 
-/// A router was told to stop a second after the first traffic. It had seen nothing but answers
-/// of that second, took a stream of 4.9 s 4.4 s before its end for that, and the stream was cut
-/// off: longer answers than the time for which it had looked can't have been seen by then.
+/// Durations observed for a short time can't include long answers.
 #[test]
-fn answers_of_a_short_time_say_nothing_of_long_ones() {
-    let mut state = stopping();
+fn ignores_durations_observed_for_too_short_a_time() {
+    let mut state = draining_router();
     state.apply(Event::ConfigurationConfirmed { at: NOW + Millis(1_600) }, NOW + Millis(1_600));
     let early = state.apply(arrival(3, "stream", "chat"), NOW + Millis(1_600));
     assert_eq!(failure(&early), Some(Kind::Draining));
-    // Twice the time that is left has been looked at.
+    // By now, durations were observed for twice the remaining time.
     state.apply(Event::ConfigurationConfirmed { at: NOW + Millis(4_000) }, NOW + Millis(4_000));
     assert!(sent_to(&state.apply(arrival(4, "stream", "chat"), NOW + Millis(4_000))).is_some());
 }
 
 #[test]
-fn nothing_is_taken_once_nothing_is_in_flight() {
-    let mut state = stopping();
+fn refuses_requests_once_drained() {
+    let mut state = draining_router();
     let effects = answer(&mut state, 2, Millis(500));
-    assert!(effects.iter().any(|it| matches!(it, Effect::Drained)));
+    assert!(effects.iter().any(|effect| matches!(effect, Effect::Drained)));
     let next = state.apply(arrival(3, "stream", "chat"), NOW + Millis(501));
     assert_eq!(failure(&next), Some(Kind::Draining));
 }
 
 #[test]
-fn callers_are_sent_to_other_routers_at_once_if_there_are_any() {
-    let mut state = stopping();
+fn gives_a_short_retry_time_if_another_router_is_current() {
+    let mut state = draining_router();
     assert_eq!(state.retry_after_ms(Kind::Draining, NOW), 250);
     state.apply(Event::Observations(Observations { current: true, upstreams: Vec::new() }), NOW);
     assert_eq!(state.retry_after_ms(Kind::Draining, NOW), 50);
--- a/components/routing/tests/direct/main.rs
+++ b/components/routing/tests/direct/main.rs
@@ -1,20 +1,20 @@
-//! A router's reducer where upstreams are reached directly.
+//! Tests of the reducer with upstreams that are reached directly.
 
 mod admission;
 mod allocation;
+mod cleared_work;
 mod cold;
 mod decisions;
+mod draining;
 mod evacuation;
 mod fixture;
 mod health;
-mod innocent;
 mod loads;
 mod pace;
-mod places;
+mod permits;
 mod prefixes;
 mod quarantine;
 mod refusals;
 mod shares;
 mod silence;
-mod stopping;
 mod words;
