--- a/components/routing/tests/direct/refusals.rs
+++ b/components/routing/tests/direct/refusals.rs
@@ -1,9 +1,7 @@
-//! Upstreams that turn requests away without asking for rest.
+//! Upstreams that refuse requests without asking for a pause.
 //!
-//! Three engines of nine turned away all that reached them, for eight seconds. As a refused
-//! request is no load, they looked idle, were first in line, and got a third of all requests. Some
-//! ask for rest as they refuse; what they then get is told in `words`. Those that do not ask draw
-//! requests all the same.
+//! A refused request adds no load, so that such upstreams look idle and would attract most of the
+//! requests. Upstreams that ask for a pause are tested in `notices`.
 
 use std::sync::Arc;
 
@@ -13,41 +11,41 @@
 
 use crate::fixture::{NOW, arrival, engines_only, refusal, sent_to};
 
-/// How far apart requests come.
-const GAP: Millis = Millis(20);
+/// Time between two requests.
+const ARRIVAL_INTERVAL: Millis = Millis(20);
 
-/// How long an answer takes.
-const TAKES: u64 = 5;
+/// Number of requests sent before an earlier one is answered.
+const ANSWER_LAG: u64 = 5;
 
-/// Sends `count` requests of kind `kind` from `now` on, each answered some requests later unless its
-/// upstream `refuses`. Returns how many tries were refused, and how many requests found none
-/// that took them.
-fn send(
+/// Sends `count` requests from `now` on. Each is answered `ANSWER_LAG` requests later, unless its
+/// upstream refuses. Returns the number of refused attempts and of requests that no upstream
+/// accepted.
+fn send_requests(
     state: &mut State,
     kind: &str,
     count: u64,
     now: Millis,
     refuses: impl Fn(&str) -> bool,
 ) -> (usize, usize) {
-    let (mut tries, mut unserved) = (0, 0);
+    let (mut refusals, mut failures) = (0, 0);
     for number in 0..count {
-        let (id, now) = (now.0 + number, now + Millis(number * GAP.0));
+        let (id, now) = (now.0 + number, now + Millis(number * ARRIVAL_INTERVAL.0));
         let mut effects = state.apply(arrival(id, kind, &format!("chat-{number}")), now);
         let mut attempt = 1;
-        while sent_to(&effects).is_some_and(|it| refuses(&it)) {
-            tries += 1;
+        while sent_to(&effects).is_some_and(|upstream| refuses(&upstream)) {
+            refusals += 1;
             effects = state.apply(Event::Reply { id, attempt, reply: refusal() }, now);
             attempt += 1;
         }
-        unserved += usize::from(sent_to(&effects).is_none());
-        if number >= TAKES {
-            answer(state, id - TAKES, now);
+        failures += usize::from(sent_to(&effects).is_none());
+        if number >= ANSWER_LAG {
+            answer(state, id - ANSWER_LAG, now);
         }
     }
-    (tries, unserved)
+    (refusals, failures)
 }
 
-/// Answers a request that is under way.
+/// Answers a request in flight.
 fn answer(state: &mut State, id: u64, now: Millis) {
     for attempt in 1..4 {
         let head = Head { attempt, status: 200, headers: Vec::new() };
@@ -61,74 +59,74 @@
 }
 
 #[test]
-fn upstreams_that_turn_everything_away_get_few_of_the_requests_that_others_have_room_for() {
+fn sends_few_requests_to_upstreams_that_refuse_all() {
     for kind in ["stream", "bulk"] {
         let mut state = engines_only(6);
-        let (tries, unserved) = send(&mut state, kind, 400, NOW, first_two);
-        assert!(tries <= 40, "{tries} tries of 400 {kind} are turned away");
-        assert!(unserved <= 4, "{unserved}");
+        let (refusals, failures) = send_requests(&mut state, kind, 400, NOW, first_two);
+        assert!(refusals <= 40, "{refusals} attempts of 400 {kind} requests were refused");
+        assert!(failures <= 4, "{failures} requests failed");
     }
 }
 
 #[test]
-fn an_upstream_that_takes_requests_again_soon_gets_its_part() {
+fn an_upstream_that_accepts_again_soon_gets_its_share() {
     let mut state = engines_only(4);
-    send(&mut state, "stream", 200, NOW, first_two);
+    send_requests(&mut state, "stream", 200, NOW, first_two);
     let later = NOW + Millis(20_000);
-    let mut places: Vec<Arc<str>> = Vec::new();
+    let mut upstreams: Vec<Arc<str>> = Vec::new();
     for id in 0..100 {
-        let now = later + Millis(id * GAP.0);
-        places.extend(sent_to(&state.apply(arrival(id, "stream", &format!("chat-{id}")), now)));
-        if id >= TAKES {
-            answer(&mut state, id - TAKES, now);
+        let now = later + Millis(id * ARRIVAL_INTERVAL.0);
+        upstreams.extend(sent_to(&state.apply(arrival(id, "stream", &format!("chat-{id}")), now)));
+        if id >= ANSWER_LAG {
+            answer(&mut state, id - ANSWER_LAG, now);
         }
     }
-    let part = places.iter().filter(|it| first_two(it)).count();
-    assert!(part > 30, "{part} of 100");
+    let share = upstreams.iter().filter(|upstream| first_two(upstream)).count();
+    assert!(share > 30, "{share} of 100");
 }
 
 #[test]
-fn where_all_turn_requests_away_they_are_still_asked() {
+fn still_tries_upstreams_if_all_refuse() {
     let mut state = engines_only(2);
-    send(&mut state, "stream", 100, NOW, |_| true);
+    send_requests(&mut state, "stream", 100, NOW, |_| true);
     let effects = state.apply(arrival(1, "stream", "chat"), NOW + Millis(2_000));
-    assert!(sent_to(&effects).is_some(), "nobody else can say whether they have room again");
+    assert!(sent_to(&effects).is_some(), "only a request shows whether they accept again");
 }
 
 #[test]
-fn one_that_turns_away_a_few_keeps_most_of_its_part() {
+fn an_upstream_that_refuses_a_few_keeps_most_of_its_share() {
     let mut state = engines_only(4);
-    let mut places: Vec<Arc<str>> = Vec::new();
+    let mut upstreams: Vec<Arc<str>> = Vec::new();
     for id in 0..400 {
-        let now = NOW + Millis(id * GAP.0);
-        let place = sent_to(&state.apply(arrival(id, "stream", &format!("chat-{id}")), now));
-        let place = place.expect("a place");
-        if &*place == "engine-0" && id.is_multiple_of(10) {
+        let now = NOW + Millis(id * ARRIVAL_INTERVAL.0);
+        let upstream = sent_to(&state.apply(arrival(id, "stream", &format!("chat-{id}")), now));
+        let upstream = upstream.expect("an upstream");
+        if &*upstream == "engine-0" && id.is_multiple_of(10) {
             state.apply(Event::Reply { id, attempt: 1, reply: refusal() }, now);
         }
-        places.push(place);
-        if id >= TAKES {
-            answer(&mut state, id - TAKES, now);
+        upstreams.push(upstream);
+        if id >= ANSWER_LAG {
+            answer(&mut state, id - ANSWER_LAG, now);
         }
     }
-    let part = places.iter().filter(|it| &***it == "engine-0").count();
-    assert!(part >= 50, "{part} of 400, where a quarter is its part");
+    let share = upstreams.iter().filter(|upstream| &***upstream == "engine-0").count();
+    assert!(share >= 50, "{share} of 400, where 100 is its share");
 }
 
 #[test]
-fn after_all_have_turned_requests_away_none_gets_them_all() {
+fn spreads_requests_after_all_upstreams_refused() {
     let mut state = engines_only(4);
-    send(&mut state, "stream", 150, NOW, |_| true);
-    let later = NOW + Millis(150 * GAP.0);
-    let mut places = std::collections::BTreeMap::<Arc<str>, usize>::new();
+    send_requests(&mut state, "stream", 150, NOW, |_| true);
+    let later = NOW + Millis(150 * ARRIVAL_INTERVAL.0);
+    let mut upstreams = std::collections::BTreeMap::<Arc<str>, usize>::new();
     for id in 0..100 {
-        let now = later + Millis(id * GAP.0);
-        let place = sent_to(&state.apply(arrival(id, "stream", &format!("chat-{id}")), now));
-        *places.entry(place.expect("a place")).or_default() += 1;
-        if id >= TAKES {
-            answer(&mut state, id - TAKES, now);
+        let now = later + Millis(id * ARRIVAL_INTERVAL.0);
+        let upstream = sent_to(&state.apply(arrival(id, "stream", &format!("chat-{id}")), now));
+        *upstreams.entry(upstream.expect("an upstream")).or_default() += 1;
+        if id >= ANSWER_LAG {
+            answer(&mut state, id - ANSWER_LAG, now);
         }
     }
-    let most = places.values().max().copied().unwrap_or_default();
-    assert!(most <= 50, "{places:?}");
+    let most = upstreams.values().max().copied().unwrap_or_default();
+    assert!(most <= 50, "{upstreams:?}");
 }
--- a/components/routing/tests/direct/shares.rs
+++ b/components/routing/tests/direct/shares.rs
@@ -1,4 +1,4 @@
-//! Whose requests are refused first where a pool is short.
+//! Shares of workspaces in a saturated pool.
 
 use std::sync::Arc;
 
@@ -13,41 +13,42 @@
     NOW, arrival, failure, recorded_decision, retry_after, router, sent_to, settings,
 };
 
-/// The seed of the cases, so that every run is the same.
 const SEED: u64 = 20_261_203;
 
 const ENGINES: [&str; 4] = ["engine-0", "engine-1", "engine-2", "engine-3"];
 
-/// When what has come is judged anew.
+/// A time at which standings are computed anew.
 const LATER: Millis = Millis(NOW.0 + 150);
 
-/// A wait of 300 ms where 400 are allowed, and one of 500.
+/// Queues with waits of 300 ms and 500 ms, where the limit is 400 ms.
 const BUSY: u64 = 3;
 const FULL: u64 = 5;
 
-/// A router that has seen each request in a queue take 100 ms.
-fn fleet(mechanisms: Mechanisms) -> State {
+/// A router that observed 100 ms of wait per queued request.
+fn router_with_waits(mechanisms: Mechanisms) -> State {
     let mut state = router(Settings { mechanisms, ..settings() });
     let delay = Delay { pool: "engine".into(), priority: 5, waited_ms: 100_000, queued: 1_000 };
     state.apply(Event::Delays(vec![delay]), NOW);
     state
 }
 
-/// Another router tells that `waiting` of its requests wait at each engine.
-fn wait_at_all(state: &mut State, waiting: u64) {
-    let load = |it: &&str| Load { upstream: (*it).into(), requests: waiting, waiting };
+/// Another router reports that `waiting` of its requests wait at each engine.
+fn report_waiting(state: &mut State, waiting: u64) {
+    let load = |name: &&str| Load { upstream: (*name).into(), requests: waiting, waiting };
     let upstreams = ENGINES.iter().map(load).collect();
     state.apply(Event::Loads(Loads { router: "front-2".into(), current: true, upstreams }), NOW);
 }
 
-/// A workspace asks for a stream.
+/// A stream request of a workspace.
 fn asked(id: u64, workspace: &str) -> Event {
-    let Event::Arrival(it) = arrival(id, "stream", &format!("chat-{id}")) else { unreachable!() };
-    Event::Arrival(Arrival { workspace: workspace.into(), ..it })
+    let Event::Arrival(stream) = arrival(id, "stream", &format!("chat-{id}")) else {
+        unreachable!()
+    };
+    Event::Arrival(Arrival { workspace: workspace.into(), ..stream })
 }
 
-/// Asks of a workspace that are answered, so that they leave no load behind.
-fn served(state: &mut State, ids: std::ops::Range<u64>, workspace: &str) {
+/// Sends requests that are answered at once, so that they leave no load.
+fn serve(state: &mut State, ids: std::ops::Range<u64>, workspace: &str) {
     for id in ids {
         assert!(sent_to(&state.apply(asked(id, workspace), NOW)).is_some());
         let head = Reply::Head(Head { attempt: 1, status: 200, headers: Vec::new() });
@@ -57,7 +58,7 @@
     }
 }
 
-/// Asks of a workspace that are refused.
+/// Sends requests that are refused.
 fn refused(state: &mut State, ids: std::ops::Range<u64>, workspace: &str) {
     for id in ids {
         let effects = state.apply(asked(id, workspace), NOW);
@@ -65,26 +66,26 @@
     }
 }
 
-/// Others have been served, and a workspace that asks for many times as much was refused.
-fn surge(mechanisms: Mechanisms) -> State {
-    let mut state = fleet(mechanisms);
-    for (place, workspace) in ["a", "b", "c", "d"].into_iter().enumerate() {
-        let first = 1_000 * (1 + place as u64);
-        served(&mut state, first..first + 10, workspace);
+/// Four workspaces have been served, and one with many times their demand was refused.
+fn router_after_surge(mechanisms: Mechanisms) -> State {
+    let mut state = router_with_waits(mechanisms);
+    for (index, workspace) in ["a", "b", "c", "d"].into_iter().enumerate() {
+        let first = 1_000 * (1 + index as u64);
+        serve(&mut state, first..first + 10, workspace);
     }
-    wait_at_all(&mut state, FULL);
+    report_waiting(&mut state, FULL);
     refused(&mut state, 100..180, "hot");
     state
 }
 
-fn on() -> Mechanisms {
+fn enabled() -> Mechanisms {
     Mechanisms { shares: true, ..Mechanisms::default() }
 }
 
 #[test]
-fn a_workspace_over_its_share_is_refused_before_the_others() {
-    let mut state = surge(on());
-    wait_at_all(&mut state, BUSY);
+fn refuses_a_workspace_over_its_share_first() {
+    let mut state = router_after_surge(enabled());
+    report_waiting(&mut state, BUSY);
     let effects = state.apply(asked(1, "hot"), LATER);
     assert_eq!(failure(&effects), Some(Kind::WouldMiss));
     assert!(sent_to(&state.apply(asked(2, "a"), LATER)).is_some());
@@ -92,28 +93,28 @@
 }
 
 #[test]
-fn a_refusal_tells_how_the_workspace_stands() {
-    let mut state = surge(on());
+fn records_the_workspaces_standing_of_a_refusal() {
+    let mut state = router_after_surge(enabled());
     let decision = recorded_decision(&state.apply(asked(1, "hot"), LATER)).expect("a decision");
     let standing = decision.standing.expect("a standing");
     assert!(matches!(standing.rank, Rank::Over(times) if times > 3.0), "{standing:?}");
     let decision = recorded_decision(&state.apply(asked(2, "new"), LATER)).expect("a decision");
-    assert_eq!(decision.standing.map(|it| it.rank), Some(Rank::Below));
+    assert_eq!(decision.standing.map(|standing| standing.rank), Some(Rank::Below));
     assert_eq!(&*decision.pool, "engine");
 }
 
 #[test]
-fn a_workspace_over_its_share_is_served_where_little_waits() {
-    let mut state = surge(on());
-    wait_at_all(&mut state, 1);
+fn serves_a_workspace_over_its_share_if_the_queue_is_short() {
+    let mut state = router_after_surge(enabled());
+    report_waiting(&mut state, 1);
     assert!(sent_to(&state.apply(asked(1, "hot"), LATER)).is_some());
 }
 
 #[test]
-fn another_engine_is_taken_that_is_in_time_for_the_share() {
-    let mut state = surge(on());
-    wait_at_all(&mut state, BUSY);
-    let load = |it: &&str| Load { upstream: (*it).into(), requests: BUSY, waiting: BUSY };
+fn selects_another_engine_within_the_workspaces_limit() {
+    let mut state = router_after_surge(enabled());
+    report_waiting(&mut state, BUSY);
+    let load = |name: &&str| Load { upstream: (*name).into(), requests: BUSY, waiting: BUSY };
     let upstreams = ENGINES[..3].iter().map(load).collect();
     state.apply(Event::Loads(Loads { router: "front-2".into(), current: true, upstreams }), NOW);
     for id in 1..3 {
@@ -123,44 +124,44 @@
 }
 
 #[test]
-fn a_workspace_over_its_share_comes_back_after_the_others() {
-    let mut state = surge(on());
-    let times = |state: &mut State, id, workspace: &str| {
-        retry_after(&state.apply(asked(id, workspace), LATER)).expect("a time")
+fn gives_a_workspace_over_its_share_a_later_retry_time() {
+    let mut state = router_after_surge(enabled());
+    let retry_time = |state: &mut State, id, workspace: &str| {
+        retry_after(&state.apply(asked(id, workspace), LATER)).expect("a retry time")
     };
-    let hot = times(&mut state, 1, "hot");
-    let others = times(&mut state, 2, "a");
+    let hot = retry_time(&mut state, 1, "hot");
+    let others = retry_time(&mut state, 2, "a");
     assert!(others < hot, "{others} {hot}");
 }
 
 #[test]
-fn a_workspace_alone_is_decided_on_as_before() {
-    for mechanisms in [on(), Mechanisms { shares: false, ..on() }] {
-        let mut state = fleet(mechanisms);
-        wait_at_all(&mut state, FULL);
+fn does_not_restrict_the_only_workspace() {
+    for mechanisms in [enabled(), Mechanisms { shares: false, ..enabled() }] {
+        let mut state = router_with_waits(mechanisms);
+        report_waiting(&mut state, FULL);
         refused(&mut state, 100..180, "hot");
-        wait_at_all(&mut state, BUSY);
+        report_waiting(&mut state, BUSY);
         assert!(sent_to(&state.apply(asked(1, "hot"), LATER)).is_some());
     }
 }
 
 #[test]
-fn nothing_is_told_and_nobody_is_held_to_a_share_in_calm() {
-    let mut state = fleet(on());
-    served(&mut state, 100..180, "hot");
-    served(&mut state, 200..205, "a");
+fn enforces_no_shares_without_saturation() {
+    let mut state = router_with_waits(enabled());
+    serve(&mut state, 100..180, "hot");
+    serve(&mut state, 200..205, "a");
     assert_eq!(state.demands(&Arc::from("front-1"), NOW), []);
-    wait_at_all(&mut state, BUSY);
+    report_waiting(&mut state, BUSY);
     assert!(sent_to(&state.apply(asked(1, "hot"), NOW)).is_some());
 }
 
 #[test]
-fn a_shortage_is_over_after_a_while() {
-    let mut state = surge(on());
+fn saturation_expires() {
+    let mut state = router_after_surge(enabled());
     let later = NOW + Millis(2_500);
     state.apply(Event::ConfigurationConfirmed { at: later }, later);
     assert_eq!(state.demands(&Arc::from("front-1"), later), []);
-    let load = |it: &&str| Load { upstream: (*it).into(), requests: BUSY, waiting: BUSY };
+    let load = |name: &&str| Load { upstream: (*name).into(), requests: BUSY, waiting: BUSY };
     let upstreams = ENGINES.iter().map(load).collect();
     let loads = Loads { router: "front-2".into(), current: true, upstreams };
     state.apply(Event::Loads(loads), later);
@@ -168,35 +169,35 @@
 }
 
 #[test]
-fn what_another_router_tells_counts() {
-    let told = surge(on()).demands(&Arc::from("front-2"), NOW);
-    let mut state = fleet(on());
-    wait_at_all(&mut state, BUSY);
+fn uses_demand_reported_by_another_router() {
+    let reported = router_after_surge(enabled()).demands(&Arc::from("front-2"), NOW);
+    let mut state = router_with_waits(enabled());
+    report_waiting(&mut state, BUSY);
     assert!(sent_to(&state.apply(asked(1, "hot"), NOW)).is_some());
-    let mut state = fleet(on());
-    for demands in told {
+    let mut state = router_with_waits(enabled());
+    for demands in reported {
         state.apply(Event::Demands(demands), NOW);
     }
-    wait_at_all(&mut state, BUSY);
+    report_waiting(&mut state, BUSY);
     assert_eq!(failure(&state.apply(asked(1, "hot"), NOW)), Some(Kind::WouldMiss));
     assert!(sent_to(&state.apply(asked(2, "a"), NOW)).is_some());
 }
 
-/// Another router tells that the hot workspace was served much, and that others were not;
-/// `lacks` says whether they still lack room.
-fn served_beyond_its_share(mechanisms: Mechanisms, gives_back: f64, lacks: bool) -> State {
-    let mut state = fleet(mechanisms);
+/// Another router reports that one workspace was overserved and others were not; `starving` says
+/// whether these still are.
+fn overserved_router(mechanisms: Mechanisms, gives_back: f64, starving: bool) -> State {
+    let mut state = router_with_waits(mechanisms);
     let settings = Settings { mechanisms, gives_back, ..settings() };
     state.apply(Event::Settings(Box::new(settings)), NOW);
-    let line = |workspace: &str, asked, served| {
+    let demand = |workspace: &str, asked, served| {
         let workspace = placement::digest(&[workspace.as_bytes()]);
         shares::Demand { workspace, priority: 5, requested: asked, served }
     };
-    let lines = vec![line("hot", 2_000, 1_000), line("a", 500, 200), line("b", 500, 200)];
+    let lines = vec![demand("hot", 2_000, 1_000), demand("a", 500, 200), demand("b", 500, 200)];
     let word = shares::Summary {
         at: NOW,
         saturated: true,
-        starving: lacks,
+        starving,
         demands: lines,
         ..Default::default()
     };
@@ -205,57 +206,57 @@
     state
 }
 
-/// How many of a hundred requests of a workspace are sent where nothing waits.
-fn sent_of_a_hundred(state: &mut State, workspace: &str) -> usize {
-    let one = |id: &u64| {
-        let went = sent_to(&state.apply(asked(*id, workspace), NOW)).is_some();
+/// Number of requests sent, out of 100, with empty queues.
+fn sent_of_100(state: &mut State, workspace: &str) -> usize {
+    let is_sent = |id: &u64| {
+        let was_sent = sent_to(&state.apply(asked(*id, workspace), NOW)).is_some();
         state.apply(Event::Cancel { id: *id }, NOW);
-        went
+        was_sent
     };
-    (1..=100).filter(one).count()
+    (1..=100).filter(is_sent).count()
 }
 
 #[test]
-fn a_workspace_that_was_served_beyond_its_share_gives_way_until_the_others_are_served() {
-    let mut state = served_beyond_its_share(on(), 1.5, true);
-    let hot = sent_of_a_hundred(&mut state, "hot");
+fn an_overserved_workspace_yields_while_others_are_starving() {
+    let mut state = overserved_router(enabled(), 1.5, true);
+    let hot = sent_of_100(&mut state, "hot");
     assert!((10..50).contains(&hot), "{hot}");
-    assert_eq!(sent_of_a_hundred(&mut state, "a"), 100);
-    let mut state = served_beyond_its_share(on(), 1.5, false);
-    assert_eq!(sent_of_a_hundred(&mut state, "hot"), 100);
-    let mut state = served_beyond_its_share(on(), 0.0, true);
-    assert_eq!(sent_of_a_hundred(&mut state, "hot"), 100);
-    let mut state = served_beyond_its_share(Mechanisms { shares: false, ..on() }, 1.5, true);
-    assert_eq!(sent_of_a_hundred(&mut state, "hot"), 100);
+    assert_eq!(sent_of_100(&mut state, "a"), 100);
+    let mut state = overserved_router(enabled(), 1.5, false);
+    assert_eq!(sent_of_100(&mut state, "hot"), 100);
+    let mut state = overserved_router(enabled(), 0.0, true);
+    assert_eq!(sent_of_100(&mut state, "hot"), 100);
+    let mut state = overserved_router(Mechanisms { shares: false, ..enabled() }, 1.5, true);
+    assert_eq!(sent_of_100(&mut state, "hot"), 100);
 }
 
 #[test]
-fn shares_can_be_switched_off() {
-    let mut state = surge(Mechanisms { shares: false, ..on() });
-    wait_at_all(&mut state, BUSY);
+fn enforces_no_shares_if_disabled() {
+    let mut state = router_after_surge(Mechanisms { shares: false, ..enabled() });
+    report_waiting(&mut state, BUSY);
     assert!(sent_to(&state.apply(asked(1, "hot"), LATER)).is_some());
-    wait_at_all(&mut state, FULL);
+    report_waiting(&mut state, FULL);
     let decision = recorded_decision(&state.apply(asked(2, "hot"), LATER)).expect("a decision");
     assert_eq!(decision.standing, None);
     assert_eq!(state.demands(&Arc::from("front-1"), LATER), []);
 }
 
 #[test]
-fn a_workspace_that_counts_more_may_ask_for_more() {
+fn a_higher_weight_allows_more_demand() {
     let weights = [("hot".into(), 100.0)].into();
-    let mut state = surge(on());
-    let settings = Settings { mechanisms: on(), weights, ..settings() };
+    let mut state = router_after_surge(enabled());
+    let settings = Settings { mechanisms: enabled(), weights, ..settings() };
     state.apply(Event::Settings(Box::new(settings)), NOW);
-    wait_at_all(&mut state, BUSY);
+    report_waiting(&mut state, BUSY);
     assert!(sent_to(&state.apply(asked(1, "hot"), LATER)).is_some());
 }
 
 #[test]
-fn what_may_have_run_is_not_turned_away_for_a_share() {
-    let mut state = surge(on());
-    wait_at_all(&mut state, 0);
+fn does_not_refuse_a_request_that_may_have_run() {
+    let mut state = router_after_surge(enabled());
+    report_waiting(&mut state, 0);
     assert!(sent_to(&state.apply(asked(1, "hot"), LATER)).is_some());
-    wait_at_all(&mut state, BUSY);
+    report_waiting(&mut state, BUSY);
     let effects = state.apply(Event::ConnectionFailed { id: 1, attempt: 1, sent: true }, LATER);
     assert!(sent_to(&effects).is_some(), "{effects:?}");
 }
@@ -272,28 +273,27 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// With the switch on whatever is below its share is sent wherever it would be with the
-    /// switch off, whatever has been told.
+    /// Enforcing shares never changes decisions on a workspace below its share.
     #[test]
-    fn nobody_below_a_share_is_refused_for_anothers_sake(
+    fn never_refuses_a_workspace_below_its_share(
         hot in 1..200_u64,
         waiting in 0..8_u64,
-        told in prop::collection::vec((0..5_u64, 0..500_u32, 0..500_u32), 0..8),
+        reported in prop::collection::vec((0..5_u64, 0..500_u32, 0..500_u32), 0..8),
     ) {
-        let line = |(workspace, asked, served): (u64, u32, u32)| shares::Demand {
+        let demand = |(workspace, asked, served): (u64, u32, u32)| shares::Demand {
             workspace, priority: 5, requested: asked, served: served.min(asked),
         };
-        let lines: Vec<_> = told.into_iter().map(line).collect();
+        let lines: Vec<_> = reported.into_iter().map(demand).collect();
         let decide = |mechanisms| {
-            let mut state = fleet(mechanisms);
-            wait_at_all(&mut state, FULL);
+            let mut state = router_with_waits(mechanisms);
+            report_waiting(&mut state, FULL);
             refused(&mut state, 100..100 + hot, "hot");
             let word = shares::Summary { at: NOW, saturated: true, demands: lines.clone(), ..Default::default() };
             let demands = Demands { router: "front-2".into(), pool: "engine".into(), summary: word };
             state.apply(Event::Demands(demands), LATER);
-            wait_at_all(&mut state, waiting);
+            report_waiting(&mut state, waiting);
             sent_to(&state.apply(asked(1, "small"), LATER))
         };
-        prop_assert_eq!(decide(on()), decide(Mechanisms { shares: false, ..on() }));
+        prop_assert_eq!(decide(enabled()), decide(Mechanisms { shares: false, ..enabled() }));
     }
 }
--- a/components/routing/tests/stateful.rs
+++ b/components/routing/tests/stateful.rs
@@ -1,4 +1,4 @@
-//! The router's reducer against a simple oracle that records every run.
+//! State machine test of the reducer against an oracle that records every run.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,13 +13,12 @@
 use routing::{Arrival, Effect, Event, Host, IdempotencyKey, Owner, Reply, Settings, State};
 use wire::{Admitted, Broken, Chunk, End, Head, Refused, Status, Welcome};
 
-/// The seed of the histories, so that every run is the same.
 const SEED: u64 = 20_261_202;
 
-/// The upstreams of the tests.
+/// Number of upstreams.
 const UPSTREAMS: usize = 4;
 
-/// What a sidecar does with the attempt it holds.
+/// Actions of the sidecar that holds the current attempt.
 #[derive(Clone, Copy, Debug)]
 enum Act {
     Refuse(Kind),
@@ -31,17 +30,17 @@
     End,
     ShortEnd,
     Break(Kind),
-    Strange,
+    Unexpected,
     LinkLost { ran: bool },
     Stall { ran: bool },
     NeverSent,
 }
 
-/// What happens next; requests are named by how long ago they came.
+/// Steps of a history; requests are named by how many came after them.
 #[derive(Clone, Debug)]
 enum Step {
     Arrival { once: bool, keyed: bool, chat: u8 },
-    Bound { back: usize, found: bool },
+    KeyBound { back: usize, found: bool },
     Act { back: usize, act: Act },
     Stale { back: usize, act: Act },
     Expire(usize),
@@ -56,7 +55,7 @@
 
 #[derive(Clone, Debug)]
 struct Reference {
-    asked: usize,
+    arrivals: usize,
 }
 
 fn acts() -> impl Strategy<Value = Act> {
@@ -71,7 +70,7 @@
         4 => Just(Act::End),
         1 => Just(Act::ShortEnd),
         1 => prop_oneof![Just(Kind::UpstreamLost), Just(Kind::Truncated)].prop_map(Act::Break),
-        1 => Just(Act::Strange),
+        1 => Just(Act::Unexpected),
         2 => any::<bool>().prop_map(|ran| Act::LinkLost { ran }),
         1 => any::<bool>().prop_map(|ran| Act::Stall { ran }),
         2 => Just(Act::NeverSent),
@@ -83,16 +82,16 @@
     type Transition = Step;
 
     fn init_state() -> BoxedStrategy<Self> {
-        Just(Self { asked: 0 }).boxed()
+        Just(Self { arrivals: 0 }).boxed()
     }
 
     fn transitions(state: &Self) -> BoxedStrategy<Step> {
-        let recent = 0..state.asked.clamp(1, 3);
+        let recent = 0..state.arrivals.clamp(1, 3);
         prop_oneof![
             4 => (any::<bool>(), any::<bool>(), 0..8_u8)
                 .prop_map(|(once, keyed, chat)| Step::Arrival { once, keyed, chat }),
             3 => (recent.clone(), any::<bool>())
-                .prop_map(|(back, found)| Step::Bound { back, found }),
+                .prop_map(|(back, found)| Step::KeyBound { back, found }),
             40 => (recent.clone(), acts()).prop_map(|(back, act)| Step::Act { back, act }),
             2 => (recent.clone(), acts()).prop_map(|(back, act)| Step::Stale { back, act }),
             1 => recent.clone().prop_map(Step::Expire),
@@ -111,17 +110,17 @@
 
     fn apply(mut state: Self, step: &Step) -> Self {
         if matches!(step, Step::Arrival { .. }) {
-            state.asked += 1;
+            state.arrivals += 1;
         }
         state
     }
 }
 
-/// What the oracle knows of a request.
+/// What the oracle knows about a request.
 #[derive(Debug, Default)]
 struct Record {
     once: bool,
-    /// Attempts that ran, or that may have run without anyone telling.
+    /// Attempts that ran, or whose outcome is unknown.
     may_have_run: u32,
     ran: u32,
     /// The attempt that a sidecar holds, and whether it was admitted.
@@ -141,7 +140,7 @@
     requests: BTreeMap<u64, Record>,
     next: u64,
     generation: u64,
-    lives: [u64; UPSTREAMS],
+    incarnations: [u64; UPSTREAMS],
     draining: bool,
     drained: bool,
     seen_generations: BTreeSet<u64>,
@@ -158,18 +157,18 @@
         "models": ["m"],
         "intents": [{ "name": "all", "upstreams": [] }],
     });
-    Document::parse(&json.to_string()).expect("the document is right")
+    Document::parse(&json.to_string()).expect("a valid document")
 }
 
 fn plan(generation: u64) -> Arc<Plan> {
-    Arc::new(Plan::compile(document(generation)).expect("the document is right"))
+    Arc::new(Plan::compile(document(generation)).expect("a valid document"))
 }
 
-fn host(place: usize, leaving: bool) -> Host {
+fn host(index: usize, leaving: bool) -> Host {
     Host {
-        name: format!("u{place}").into(),
+        name: format!("u{index}").into(),
         entry: "".into(),
-        address: format!("a{place}").into(),
+        address: format!("a{index}").into(),
         domain: "d".into(),
         labels: BTreeMap::from([("model".into(), "m".into())]),
         leaving,
@@ -189,13 +188,13 @@
             requests: BTreeMap::new(),
             next: 0,
             generation: 2,
-            lives: [1; UPSTREAMS],
+            incarnations: [1; UPSTREAMS],
             draining: false,
             drained: false,
             seen_generations: BTreeSet::new(),
         };
         this.state.apply(Event::Configure(plan(2)), this.now);
-        let hosts = (0..UPSTREAMS).map(|place| host(place, false)).collect();
+        let hosts = (0..UPSTREAMS).map(|index| host(index, false)).collect();
         this.state.apply(Event::Hosts(hosts), this.now);
         for upstream in 0..UPSTREAMS {
             this.step(Step::Connected { upstream, load: 0, newer: false });
@@ -209,50 +208,54 @@
     }
 
     fn check_invariants(this: &Self, _: &Reference) {
-        let open = this.requests.values().filter(|it| it.ended == 0).count();
+        let open = this.requests.values().filter(|record| record.ended == 0).count();
         assert_eq!(this.state.in_flight(), open, "the count of requests is wrong");
         assert!(!this.drained || open == 0, "drained though requests are open");
-        let generation = this.state.plan().map_or(0, |it| it.generation());
+        let generation = this.state.plan().map_or(0, |plan| plan.generation());
         assert_eq!(generation, this.generation, "the generation is not the highest seen");
     }
 }
 
 impl Oracle {
-    #[expect(clippy::needless_pass_by_value, reason = "a step is used up")]
+    #[expect(clippy::needless_pass_by_value, reason = "steps are passed by value")]
     fn step(&mut self, step: Step) {
         match step {
-            Step::Arrival { once, keyed, chat } => self.ask(once, keyed, chat),
-            Step::Bound { back, found } => self.bound(back, found),
+            Step::Arrival { once, keyed, chat } => self.arrive(once, keyed, chat),
+            Step::KeyBound { back, found } => self.bind_key(back, found),
             Step::Act { back, act } => {
-                let id = self.named(back);
-                let held = self.requests.get(&id).and_then(|it| it.held);
+                let id = self.recent_id(back);
+                let held = self.requests.get(&id).and_then(|record| record.held);
                 if let Some((attempt, _)) = held {
-                    self.act(id, attempt, act);
+                    self.apply_act(id, attempt, act);
                 }
             }
-            Step::Stale { back, act } => self.stale(back, act),
-            Step::Expire(back) => self.event(self.named(back), |id| Event::Expire { id }),
+            Step::Stale { back, act } => self.apply_stale(back, act),
+            Step::Expire(back) => self.apply_event(self.recent_id(back), |id| Event::Expire { id }),
             Step::Cancel(back) => {
-                let id = self.named(back);
-                let open = self.requests.get(&id).is_some_and(|it| it.ended == 0);
-                self.event(id, |id| Event::Cancel { id });
+                let id = self.recent_id(back);
+                let open = self.requests.get(&id).is_some_and(|record| record.ended == 0);
+                self.apply_event(id, |id| Event::Cancel { id });
                 if open && let Some(record) = self.requests.get_mut(&id) {
                     record.ended += 1;
                 }
             }
             Step::Hosts { present, leaving } => {
-                let is = |bits: u8, place: usize| bits >> place & 1 == 1;
+                let has_bit = |bits: u8, index: usize| bits >> index & 1 == 1;
                 let hosts = (0..UPSTREAMS)
-                    .filter(|place| is(present, *place))
-                    .map(|place| host(place, is(leaving, place)))
+                    .filter(|index| has_bit(present, *index))
+                    .map(|index| host(index, has_bit(leaving, index)))
                     .collect();
                 self.state.apply(Event::Hosts(hosts), self.now);
             }
             Step::Connected { upstream, load, newer } => {
-                self.lives[upstream] += u64::from(newer);
+                self.incarnations[upstream] += u64::from(newer);
                 let welcome = Welcome {
                     name: format!("u{upstream}").into(),
-                    status: Status { incarnation: self.lives[upstream], load, ..Status::default() },
+                    status: Status {
+                        incarnation: self.incarnations[upstream],
+                        load,
+                        ..Status::default()
+                    },
                 };
                 self.state.apply(Event::Connected(welcome), self.now);
             }
@@ -275,16 +278,16 @@
         }
     }
 
-    fn named(&self, back: usize) -> u64 {
+    fn recent_id(&self, back: usize) -> u64 {
         self.next.saturating_sub(back as u64)
     }
 
-    fn ask(&mut self, once: bool, keyed: bool, chat: u8) {
+    fn arrive(&mut self, once: bool, keyed: bool, chat: u8) {
         self.next += 1;
         let id = self.next;
         let owner = Owner { upstream: format!("u{}", chat % 4).into(), incarnation: 1 };
         let key = IdempotencyKey { key: format!("k{id}").into(), owner: keyed.then_some(owner) };
-        let ask = Arrival {
+        let arrival = Arrival {
             id,
             request: format!("r{id}").into(),
             workspace: "w".into(),
@@ -298,11 +301,11 @@
             deadline: None,
         };
         self.requests.insert(id, Record { once, ..Record::default() });
-        self.event(id, |_| Event::Arrival(ask.clone()));
+        self.apply_event(id, |_| Event::Arrival(arrival.clone()));
     }
 
-    fn bound(&mut self, back: usize, found: bool) {
-        let id = self.named(back);
+    fn bind_key(&mut self, back: usize, found: bool) {
+        let id = self.recent_id(back);
         let Some(record) = self.requests.get_mut(&id) else {
             return;
         };
@@ -310,16 +313,16 @@
             return;
         }
         let owner = found.then(|| Owner { upstream: "u1".into(), incarnation: 1 });
-        self.event(id, |id| Event::KeyBound { id, owner: owner.clone() });
+        self.apply_event(id, |id| Event::KeyBound { id, owner: owner.clone() });
     }
 
-    fn event(&mut self, id: u64, event: impl Fn(u64) -> Event) {
+    fn apply_event(&mut self, id: u64, event: impl Fn(u64) -> Event) {
         let effects = self.state.apply(event(id), self.now);
         self.carry_out(id, effects);
     }
 
-    /// What the sidecar that holds the current attempt does.
-    fn act(&mut self, id: u64, attempt: u32, act: Act) {
+    /// Applies an action of the sidecar that holds the current attempt.
+    fn apply_act(&mut self, id: u64, attempt: u32, act: Act) {
         let Some(record) = self.requests.get_mut(&id) else {
             return;
         };
@@ -345,19 +348,19 @@
             Act::Chunk | Act::Repeat | Act::Skip if !record.head => return,
             Act::End => record.held = None,
             Act::ShortEnd => {
-                // The sidecar sent one more chunk than came.
+                // One more chunk was sent than received.
                 record.sent_chunks += 1;
                 record.held = None;
             }
             _ => {}
         }
         let event = reply(id, attempt, act, record);
-        self.event(id, |_| event.clone());
+        self.apply_event(id, |_| event.clone());
     }
 
-    /// A frame of an attempt that is over.
-    fn stale(&mut self, back: usize, act: Act) {
-        let id = self.named(back);
+    /// Applies a frame of an earlier attempt.
+    fn apply_stale(&mut self, back: usize, act: Act) {
+        let id = self.recent_id(back);
         let Some(record) = self.requests.get_mut(&id) else {
             return;
         };
@@ -366,7 +369,7 @@
         }
         let event = reply(id, record.attempts - 1, act, record);
         let effects = self.state.apply(event, self.now);
-        assert!(effects.is_empty(), "a belated frame had an effect: {effects:?}");
+        assert!(effects.is_empty(), "a stale frame had an effect: {effects:?}");
     }
 
     fn carry_out(&mut self, id: u64, effects: Vec<Effect>) {
@@ -384,7 +387,7 @@
                     assert!(!record.head, "request {id} was sent again after its head");
                     assert!(
                         !record.once || record.may_have_run == 0,
-                        "request {id} may run once only and was sent again"
+                        "request {id} must run only once and was sent again"
                     );
                     record.attempts += 1;
                     let attempt = attempt.number;
@@ -394,37 +397,34 @@
                     record.sent_chunks = 0;
                 }
                 Effect::Claim { .. } | Effect::Release { .. } | Effect::ReportSaturation { .. } => {
-                    panic!("sidecars have the last word: no place is asked for")
+                    panic!("a permit was claimed on the sidecar path")
                 }
                 Effect::BindKey { .. } => record.binding = true,
                 Effect::Head(_) => {
                     assert!(!std::mem::replace(&mut record.head, true), "a second head");
                 }
                 Effect::Relay(bytes) => {
-                    let expected = text(id, record.relayed);
+                    let expected = chunk_bytes(id, record.relayed);
                     assert_eq!(bytes, expected, "request {id} got bytes that are not its own");
                     record.relayed += 1;
                     record.bytes += bytes.len() as u64;
                 }
                 Effect::Finish => {
                     record.ended += 1;
-                    assert_eq!(record.relayed, record.sent_chunks, "request {id} is not whole");
+                    assert_eq!(record.relayed, record.sent_chunks, "request {id} is incomplete");
                 }
                 Effect::Fail(answer) | Effect::Abort(answer) => {
                     record.ended += 1;
                     record.held = None;
                     if answer.outcome == Outcome::NotRun {
-                        assert_eq!(
-                            record.ran, 0,
-                            "request {id} ran and its caller was told: {answer:?}"
-                        );
+                        assert_eq!(record.ran, 0, "request {id} ran, but its answer is {answer:?}");
                     }
                 }
                 Effect::Record(decision) => {
                     self.seen_generations.insert(decision.generation);
                 }
                 Effect::PublishPrefixes(_) | Effect::Wait(_) => {
-                    panic!("request {id} shares no part of its prompt")
+                    panic!("request {id} has no shared prefix")
                 }
                 Effect::UpdateDirectory { .. }
                 | Effect::Cancel
@@ -445,14 +445,15 @@
     }
 }
 
-/// The true text of a request's chunk.
-fn text(id: u64, sequence: u64) -> Bytes {
+/// Expected bytes of a chunk.
+fn chunk_bytes(id: u64, sequence: u64) -> Bytes {
     Bytes::from(format!("{id}:{sequence};"))
 }
 
 fn reply(id: u64, attempt: u32, act: Act, record: &Record) -> Event {
     let status = Status { incarnation: 1, ..Status::default() };
-    let chunk = |sequence| Reply::Chunk(Chunk { attempt, sequence, bytes: text(id, sequence) });
+    let chunk =
+        |sequence| Reply::Chunk(Chunk { attempt, sequence, bytes: chunk_bytes(id, sequence) });
     let last = record.sent_chunks.saturating_sub(1);
     let reply = match act {
         Act::Refuse(kind) => {
@@ -465,11 +466,13 @@
         Act::End | Act::ShortEnd => Reply::End(End {
             attempt,
             chunks: record.sent_chunks,
-            bytes: (0..record.sent_chunks).map(|it| text(id, it).len() as u64).sum(),
+            bytes: (0..record.sent_chunks)
+                .map(|sequence| chunk_bytes(id, sequence).len() as u64)
+                .sum(),
             status,
         }),
         Act::Break(kind) => Reply::Broken(Broken { attempt, kind }),
-        Act::Strange => Reply::Unexpected,
+        Act::Unexpected => Reply::Unexpected,
         Act::Stall { .. } => return Event::Stalled { id, attempt },
         Act::LinkLost { .. } => {
             return Event::ConnectionFailed { id, attempt, sent: true };
@@ -490,5 +493,5 @@
     })]
 
     #[test]
-    fn the_router_keeps_its_promises(sequential 1..200 => Oracle);
+    fn delivers_each_answer_once_and_repeats_only_safe_requests(sequential 1..200 => Oracle);
 }
