--- a/components/fleet/src/sources.rs
+++ b/components/fleet/src/sources.rs
@@ -11,46 +11,45 @@
 use crate::home::Locality;
 use crate::referrals::Referrals;
 
-/// The pollers of a fleet with a single failure domain; each of several domains has one. The loss
-/// of one poller is covered by another.
+/// The pollers of a fleet with one failure domain. Of several domains each has one, as the others
+/// cover its loss.
 const SINGLE_DOMAIN_POLLERS: usize = 2;
 
-/// How long a router remains a poller that became one since no source had anything new. The
-/// announcements of the other pollers expire by then if the store does not answer them.
+/// How long a router remains a poller after it became one for lack of a source. Announcements of
+/// pollers without access to the store expire by then.
 const MIN_POLLER_TIME: Millis = Millis(20_000);
 
-/// How long the first in rank waits before it replaces a missing poller, and how much longer each
-/// further router does. Long enough for the announcement of a new poller to reach all routers.
+/// The time between the routers that may replace a missing poller, in order of their rank. Long
+/// enough for the announcement of a new poller to reach all routers.
 const SUCCESSION_INTERVAL: Millis = Millis(2_000);
 
 /// How long a router without any source waits.
 const IDLE_PAUSE: Millis = Millis(300);
 
-/// How long there must be too many pollers before one steps down: several may have just begun.
+/// How long there must be too many pollers before the last in rank steps down.
 const SURPLUS_TIMEOUT: Millis = Millis(3_000);
 
 /// How long a router that did not answer is not queried again.
 const FAILURE_BACKOFF: Millis = Millis(1_000);
 
-/// How long a router that did not answer counts as failed, unless it answers. Its announcement
-/// has expired by then.
+/// How long a router that did not answer counts as failed; its announcement expires by then.
 const FAILURE_RETENTION: Millis = Millis(20_000);
 
 /// How long a router that has just started is not queried again.
 const STARTUP_BACKOFF: Millis = Millis(100);
 
-/// How long routers with a stale confirmation are queried last, the longest known first.
+/// How long routers with a stale confirmation are queried after all others.
 const STALE_RETENTION: Millis = Millis(10_000);
 
-/// How long all sources may fail before a router that is no poller polls the store. Each further
-/// one in rank waits [`FALLBACK_INTERVAL`] longer, which limits the polls of a domain.
+/// How long the first router in rank has no source before it polls the store. Each further one
+/// waits [`FALLBACK_INTERVAL`] longer, which limits the polls of a domain.
 const FALLBACK_DELAY: Millis = Millis(500);
 
 /// The time between the polls of a domain's routers while the store does not answer.
 const FALLBACK_INTERVAL: Millis = Millis(1_000);
 
-/// How long a started router does not become a poller while any other answers: it does not know
-/// all candidates yet.
+/// How long a started router does not become a poller while others can be queried, as it does not
+/// know all routers yet.
 const STARTUP_TIME: Millis = Millis(3_000);
 
 /// How many routers that may become pollers are queried if all pollers have failed.
