--- a/components/routing/src/beliefs/loads.rs
+++ b/components/routing/src/beliefs/loads.rs
@@ -16,7 +16,7 @@
 /// How long the loads of a router count after its last report.
 const LOADS_TTL: Millis = Millis(2_000);
 
-/// How long after the last message of any router its kind of information counts as known.
+/// How long information from other routers counts as known after the last message with it.
 const MESSAGE_TTL: Millis = Millis(1_000);
 
 /// Maximum number of upstreams in one message, so that it fits one datagram.
--- a/components/routing/src/beliefs/upstream.rs
+++ b/components/routing/src/beliefs/upstream.rs
@@ -15,7 +15,7 @@
 use crate::selection::ranking::POOL_LABEL;
 use crate::{Effect, Host, Settings};
 
-/// Upper bound for the exponent of the back-off after failures.
+/// Upper bound for the exponent of the backoff after failures.
 const MAX_DOUBLINGS: u32 = 16;
 
 /// Consecutive failures after which an upstream gets one request at a time until it answers.
@@ -286,7 +286,7 @@
         }
     }
 
-    /// Counts a failure and excludes the upstream for an exponential back-off, of which
+    /// Counts a failure and excludes the upstream for an exponential backoff, of which
     /// `jitter`, from 0 to 1, varies the second half.
     pub(crate) fn mark_suspect(&mut self, settings: &Settings, jitter: f64, now: Millis) {
         let doublings = self.failures.min(MAX_DOUBLINGS);
@@ -295,7 +295,7 @@
             clippy::cast_precision_loss,
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
-            reason = "a back-off is a few seconds"
+            reason = "a backoff is a few seconds"
         )]
         let backoff = (base as f64 * (0.5 + jitter / 2.0)) as u64;
         self.connected = false;
--- a/components/routing/src/beliefs/word.rs
+++ b/components/routing/src/beliefs/word.rs
@@ -1,6 +1,6 @@
-//! Notices that upstreams send with their answers: that they are leaving, or ask for a back-off.
+//! Notices that upstreams send with their answers: that they are leaving, or ask for a backoff.
 //!
-//! The platform's list shows leaving upstreams only later, and a back-off not at all. Requests
+//! The platform's list shows leaving upstreams only later, and a backoff not at all. Requests
 //! that an upstream refuses add no load, so that without its notice it would attract more of them.
 
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 pub(crate) struct Notice {
     /// Whether the upstream is leaving. It is never reset: a restart has a new name.
     leaving: bool,
-    /// When the requested back-off ends.
+    /// When the requested backoff ends.
     backoff_until: Millis,
 }
 
@@ -29,12 +29,12 @@
         self.leaving
     }
 
-    /// The remaining back-off.
+    /// The remaining backoff.
     pub(crate) fn backoff(self, now: Millis) -> Millis {
         now.until(self.backoff_until)
     }
 
-    /// Whether a back-off is in force.
+    /// Whether a backoff is in force.
     pub(crate) fn is_backing_off(self, now: Millis) -> bool {
         self.backoff(now) > Millis::ZERO
     }
@@ -60,7 +60,7 @@
         self.by_upstream.insert(upstream.clone(), notice);
     }
 
-    /// Drops expired back-offs, or the oldest notice if there are none.
+    /// Drops expired backoffs, or the oldest notice if there are none.
     fn evict(&mut self, now: Millis) {
         self.by_upstream.retain(|_, notice| notice.leaving || notice.is_backing_off(now));
         if self.by_upstream.len() >= MAX_NOTICES {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Records that an upstream has asked for a back-off. A back-off that ends later stays in
+    /// Records that an upstream has asked for a backoff. A backoff that ends later stays in
     /// force.
     pub(crate) fn record_backoff(&mut self, upstream: &Arc<str>, duration: Millis, now: Millis) {
         let notice = self.upstream_notices.get(upstream);
--- a/components/routing/tests/direct/evacuation.rs
+++ b/components/routing/tests/direct/evacuation.rs
@@ -73,11 +73,11 @@
 #[test]
 fn sends_a_waiting_request_to_another_domain_after_an_evacuation() {
     let mut state = fleet();
-    let reader = sent_to(&state.apply(arrival_with_prefixes(1, "stream", "chat", &[7]), NOW))
+    let prefilling = sent_to(&state.apply(arrival_with_prefixes(1, "stream", "chat", &[7]), NOW))
         .expect("an upstream");
     let waits = state.apply(arrival_with_prefixes(2, "stream", "chat", &[7]), NOW);
     assert!(matches!(waits[0], Effect::Wait(_)));
-    let domain = if reader.ends_with('0') || reader.ends_with('1') { "a" } else { "b" };
+    let domain = if prefilling.ends_with('0') || prefilling.ends_with('1') { "a" } else { "b" };
     state.apply(evacuated(&[domain]), NOW);
     let next = sent_to(&state.apply(Event::WaitElapsed { id: 2 }, NOW)).expect("an upstream");
     let evacuated_engines =
--- a/components/routing/tests/direct/fixture.rs
+++ b/components/routing/tests/direct/fixture.rs
@@ -116,7 +116,7 @@
 }
 
 /// Like [`arrival`], with shared prefixes of these hashes.
-pub fn arrival_with_prefixes(id: u64, kind: &str, chat: &str, shared: &[u64]) -> Event {
+pub fn arrival_with_prefixes(id: u64, kind: &str, chat: &str, hashes: &[u64]) -> Event {
     Event::Arrival(Arrival {
         id,
         request: format!("r-{id}").into(),
@@ -125,7 +125,7 @@
         model: matches!(kind, "stream" | "bulk").then(|| "m".into()),
         fingerprint: id,
         chat: chat.into(),
-        prefixes: parts(shared),
+        prefixes: prefixes(hashes),
         idempotency_key: None,
         weight: 1,
         deadline: None,
@@ -134,16 +134,16 @@
 
 /// The arrival of a stream with one shared prefix of `tokens` tokens.
 pub fn arrival_with_long_prefix(id: u64, chat: &str, hash: u64, tokens: u64) -> Event {
-    let Event::Arrival(ask) = arrival_with_prefixes(id, "stream", chat, &[]) else {
+    let Event::Arrival(arrival) = arrival_with_prefixes(id, "stream", chat, &[]) else {
         unreachable!("an arrival")
     };
-    Event::Arrival(Arrival { prefixes: vec![Prefix { hash, tokens }], ..ask })
+    Event::Arrival(Arrival { prefixes: vec![Prefix { hash, tokens }], ..arrival })
 }
 
 /// Prefixes with these hashes, each a hundred tokens longer than the last.
-fn parts(hashes: &[u64]) -> Vec<Prefix> {
-    let part = |(hash, tokens): (&u64, u64)| Prefix { hash: *hash, tokens: 100 * tokens };
-    hashes.iter().zip(1..).map(part).collect()
+fn prefixes(hashes: &[u64]) -> Vec<Prefix> {
+    let prefix = |(hash, tokens): (&u64, u64)| Prefix { hash: *hash, tokens: 100 * tokens };
+    hashes.iter().zip(1..).map(prefix).collect()
 }
 
 /// The upstream that the effects send a request to.
--- a/components/routing/tests/direct/quarantine.rs
+++ b/components/routing/tests/direct/quarantine.rs
@@ -9,7 +9,7 @@
 
 use crate::fixture::{NOW, arrival, engines, failure, retry_after, router, sent_to, settings};
 
-/// The fingerprint of the work of request 7.
+/// The id of a request, and the fingerprint of its work.
 const WORK: u64 = 7;
 
 /// The default duration of a quarantine.
@@ -51,7 +51,7 @@
 }
 
 /// Sends a request whose connection fails. Returns its upstream and the effects.
-fn lose(state: &mut State, id: u64, kind: &str) -> (Arc<str>, Vec<Effect>) {
+fn send_and_disconnect(state: &mut State, id: u64, kind: &str) -> (Arc<str>, Vec<Effect>) {
     let upstream = sent_to(&state.apply(arrival(id, kind, "chat"), NOW)).expect("an upstream");
     let effects = state.apply(Event::ConnectionFailed { id, attempt: 1, sent: true }, NOW);
     (upstream, effects)
@@ -89,24 +89,24 @@
     for id in 1..4 {
         state.apply(arrival(id, "stream", "chat"), NOW);
     }
-    let lost = |state: &mut State, id| {
+    let disconnect = |state: &mut State, id| {
         state.apply(Event::ConnectionFailed { id, attempt: 1, sent: true }, NOW)
     };
-    assert_eq!([1, 2].map(|id| count_checks(&lost(&mut state, id))), [1, 0]);
+    assert_eq!([1, 2].map(|id| count_checks(&disconnect(&mut state, id))), [1, 0]);
     let upstream: Arc<str> = "engine-0".into();
-    let ended = state.apply(Event::Checked { upstream, check: Liveness::Dead }, NOW);
-    assert_eq!(reported(&ended), [(1, "engine-0".into()), (2, "engine-0".into())]);
-    assert_eq!(count_checks(&lost(&mut state, 3)), 1);
+    let effects = state.apply(Event::Checked { upstream, check: Liveness::Dead }, NOW);
+    assert_eq!(reported(&effects), [(1, "engine-0".into()), (2, "engine-0".into())]);
+    assert_eq!(count_checks(&disconnect(&mut state, 3)), 1);
 }
 
 #[test]
 fn reports_no_crash_if_the_upstream_is_alive() {
     let mut state = fleet();
-    let (upstream, _) = lose(&mut state, WORK, "unsafe");
+    let (upstream, _) = send_and_disconnect(&mut state, WORK, "unsafe");
     let check = Liveness::Alive;
     state.apply(Event::Checked { upstream: upstream.clone(), check }, NOW);
-    let ended = state.apply(Event::Checked { upstream, check: Liveness::Dead }, NOW);
-    assert!(reported(&ended).is_empty());
+    let effects = state.apply(Event::Checked { upstream, check: Liveness::Dead }, NOW);
+    assert!(reported(&effects).is_empty());
 }
 
 #[test]
@@ -126,7 +126,7 @@
     let mut state = fleet();
     let Event::Hosts(mut hosts) = engines(&["d"]) else { unreachable!("a host list") };
     state.apply(Event::Hosts(hosts.clone()), NOW);
-    lose(&mut state, WORK, "stream");
+    send_and_disconnect(&mut state, WORK, "stream");
     let check = Liveness::Unknown;
     state.apply(Event::Checked { upstream: hosts[0].name.clone(), check }, NOW);
     hosts[0].name = "engine-0@1".into();
--- a/components/routing/tests/direct/silence.rs
+++ b/components/routing/tests/direct/silence.rs
@@ -104,7 +104,7 @@
     let mut state = fleet();
     let silent = start(&mut state, 1, "stream");
     stall(&mut state, 1, 1, NOW + SILENCE_TIMEOUT);
-    // The back-off takes at most 10 s.
+    // The backoff takes at most 10 s.
     let later = NOW + Millis(11_000);
     state.apply(Event::ConfigurationConfirmed { at: later }, later);
     assert_eq!(sent_to(&state.apply(arrival(2, "stream", "chat"), later)), Some(silent.clone()));
--- a/components/routing/tests/direct/prefixes.rs
+++ b/components/routing/tests/direct/warmth.rs
@@ -12,7 +12,7 @@
 /// The prefixes that the requests share.
 const PREFIXES: [u64; 2] = [11, 12];
 
-fn ask(state: &mut State, id: u64, now: Millis) -> Vec<Effect> {
+fn arrive(state: &mut State, id: u64, now: Millis) -> Vec<Effect> {
     state.apply(arrival_with_prefixes(id, "stream", "chat", &PREFIXES), now)
 }
 
@@ -44,22 +44,22 @@
 #[test]
 fn publishes_prefixes_once_when_the_prefill_begins_and_once_when_it_ends() {
     let mut state = router(settings());
-    let effects = ask(&mut state, 1, NOW);
+    let effects = arrive(&mut state, 1, NOW);
     let upstream = sent_to(&effects).expect("an upstream");
     let warm = |stage| {
         Some(WarmPrefixes { upstream: upstream.clone(), prefixes: PREFIXES.to_vec(), stage })
     };
     assert_eq!(published(&effects), warm(Stage::Prefilling));
     assert_eq!(published(&head(&mut state, 1, NOW)), warm(Stage::Cached));
-    assert_eq!(published(&ask(&mut state, 2, NOW)), None);
+    assert_eq!(published(&arrive(&mut state, 2, NOW)), None);
     assert_eq!(published(&head(&mut state, 2, NOW)), None);
 }
 
 #[test]
 fn a_request_waits_while_its_upstream_prefills_the_same_prefix() {
     let mut state = router(settings());
-    let upstream = sent_to(&ask(&mut state, 1, NOW));
-    assert!(waits(&ask(&mut state, 2, NOW)));
+    let upstream = sent_to(&arrive(&mut state, 1, NOW));
+    assert!(waits(&arrive(&mut state, 2, NOW)));
     assert!(waits(&state.apply(Event::WaitElapsed { id: 2 }, NOW + Millis(20))));
     head(&mut state, 1, NOW + Millis(30));
     let effects = state.apply(Event::WaitElapsed { id: 2 }, NOW + Millis(40));
@@ -70,12 +70,12 @@
 fn a_request_waits_for_a_prefill_that_another_router_reported() {
     let waits_after = |stage| {
         let mut state = router(settings());
-        let upstream = sent_to(&ask(&mut router(settings()), 1, NOW)).expect("an upstream");
+        let upstream = sent_to(&arrive(&mut router(settings()), 1, NOW)).expect("an upstream");
         state.apply(
             Event::WarmPrefixes(WarmPrefixes { upstream, prefixes: PREFIXES.to_vec(), stage }),
             NOW,
         );
-        waits(&ask(&mut state, 1, NOW))
+        waits(&arrive(&mut state, 1, NOW))
     };
     assert!(waits_after(Stage::Prefilling));
     assert!(!waits_after(Stage::Cached));
@@ -84,8 +84,8 @@
 #[test]
 fn sends_a_waiting_request_after_a_quarter_of_its_objective() {
     let mut state = router(settings());
-    ask(&mut state, 1, NOW);
-    ask(&mut state, 2, NOW);
+    arrive(&mut state, 1, NOW);
+    arrive(&mut state, 2, NOW);
     assert!(waits(&state.apply(Event::WaitElapsed { id: 2 }, NOW + Millis(199))));
     assert!(sent_to(&state.apply(Event::WaitElapsed { id: 2 }, NOW + Millis(200))).is_some());
 }
@@ -93,8 +93,8 @@
 #[test]
 fn forgets_a_waiting_request_when_its_caller_cancels() {
     let mut state = router(settings());
-    ask(&mut state, 1, NOW);
-    ask(&mut state, 2, NOW);
+    arrive(&mut state, 1, NOW);
+    arrive(&mut state, 2, NOW);
     state.apply(Event::Cancel { id: 2 }, NOW);
     assert_eq!(state.in_flight(), 1);
     assert!(state.apply(Event::WaitElapsed { id: 2 }, NOW).is_empty());
@@ -103,7 +103,7 @@
 #[test]
 fn prefers_an_upstream_that_holds_the_prefix_and_copies_from_it_beyond_its_bound() {
     let mut state = router(settings());
-    let home = sent_to(&ask(&mut router(settings()), 1, NOW)).expect("an upstream");
+    let home = sent_to(&arrive(&mut router(settings()), 1, NOW)).expect("an upstream");
     let names = (0..4).map(|number| Arc::<str>::from(format!("engine-{number}")));
     let other = names.into_iter().find(|name| *name != home).expect("another engine");
     let warm = |upstream: &Arc<str>| WarmPrefixes {
@@ -113,10 +113,10 @@
     };
     state.apply(Event::WarmPrefixes(warm(&other)), NOW);
     for id in 1..5 {
-        let effects = ask(&mut state, id, NOW);
+        let effects = arrive(&mut state, id, NOW);
         assert_eq!((sent_to(&effects), source(&effects)), (Some(other.clone()), None));
     }
-    let effects = ask(&mut state, 5, NOW);
+    let effects = arrive(&mut state, 5, NOW);
     assert_eq!(sent_to(&effects), Some(home));
     assert_eq!(source(&effects), Some(format!("{other}:1").into()));
     // A copy is not published as a prefill.
@@ -128,11 +128,11 @@
 #[test]
 fn does_not_copy_from_an_unreachable_upstream() {
     let mut state = router(settings());
-    let home = sent_to(&ask(&mut state, 1, NOW)).expect("an upstream");
+    let home = sent_to(&arrive(&mut state, 1, NOW)).expect("an upstream");
     head(&mut state, 1, NOW);
     // The home is unreachable, so that the next request goes to another upstream.
     state.apply(Event::Unreachable { upstream: home.clone() }, NOW);
-    let effects = ask(&mut state, 2, NOW);
+    let effects = arrive(&mut state, 2, NOW);
     assert_ne!(sent_to(&effects), Some(home));
     assert_eq!(source(&effects), None);
 }
@@ -141,15 +141,15 @@
 fn copies_only_long_prefixes_from_a_failed_upstream() {
     let copies = |count: u64| {
         let mut state = router(settings());
-        let shared: Vec<_> = (1..=count).collect();
-        let ask = |id| arrival_with_prefixes(id, "stream", "chat", &shared);
-        let home = sent_to(&state.apply(ask(1), NOW)).expect("an upstream");
+        let hashes: Vec<_> = (1..=count).collect();
+        let arrival = |id| arrival_with_prefixes(id, "stream", "chat", &hashes);
+        let home = sent_to(&state.apply(arrival(1), NOW)).expect("an upstream");
         head(&mut state, 1, NOW);
         for id in [2, 3] {
-            state.apply(ask(id), NOW);
+            state.apply(arrival(id), NOW);
             state.apply(Event::ConnectionFailed { id, attempt: 1, sent: true }, NOW);
         }
-        let effects = state.apply(ask(4), NOW);
+        let effects = state.apply(arrival(4), NOW);
         assert_ne!(sent_to(&effects), Some(home));
         source(&effects).is_some()
     };
@@ -160,10 +160,10 @@
 fn forgets_an_unconfirmed_prefill() {
     let waits_at = |at: Millis| {
         let mut state = router(settings());
-        let upstream = sent_to(&ask(&mut router(settings()), 1, NOW)).expect("an upstream");
+        let upstream = sent_to(&arrive(&mut router(settings()), 1, NOW)).expect("an upstream");
         let warm = WarmPrefixes { upstream, prefixes: PREFIXES.to_vec(), stage: Stage::Prefilling };
         state.apply(Event::WarmPrefixes(warm), NOW);
-        waits(&ask(&mut state, 1, at))
+        waits(&arrive(&mut state, 1, at))
     };
     assert!(waits_at(NOW + Millis(999)));
     assert!(!waits_at(NOW + Millis(1_000)));
--- a/components/routing/tests/direct/words.rs
+++ b/components/routing/tests/direct/words.rs
@@ -1,4 +1,4 @@
-//! Notices of upstreams: leaving and back-off.
+//! Notices of upstreams: leaving and backoff.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
     NOW, arrival, engines, engines_only, failure, recorded_decision, refusal, retry_after, sent_to,
 };
 
-/// A usual back-off.
+/// A usual backoff.
 const BACKOFF: Millis = Millis(3_000);
 
 fn backoff(upstream: &str, duration: Millis) -> Event {
@@ -87,9 +87,10 @@
 #[test]
 fn does_not_send_a_waiting_request_to_an_upstream_that_backs_off() {
     let mut state = engines_only(1);
-    let asked = |id| crate::fixture::arrival_with_prefixes(id, "stream", "chat", &[7]);
-    assert!(sent_to(&state.apply(asked(1), NOW)).is_some());
-    let waits = state.apply(asked(2), NOW);
+    let arrival_with_prefix =
+        |id| crate::fixture::arrival_with_prefixes(id, "stream", "chat", &[7]);
+    assert!(sent_to(&state.apply(arrival_with_prefix(1), NOW)).is_some());
+    let waits = state.apply(arrival_with_prefix(2), NOW);
     assert!(matches!(waits[..], [Effect::Wait(_)]), "{waits:?}");
     state.apply(backoff("engine-0", BACKOFF), NOW);
     let effects = state.apply(Event::WaitElapsed { id: 2 }, NOW + Millis(20));
--- a/components/routing/tests/hints.rs
+++ b/components/routing/tests/hints.rs
@@ -46,7 +46,7 @@
     state
 }
 
-fn ask() -> Event {
+fn arrival() -> Event {
     Event::Arrival(Arrival {
         id: 1,
         request: "r".into(),
@@ -79,7 +79,7 @@
 #[test]
 fn ignores_a_hint_to_an_upstream_that_the_intents_do_not_allow() {
     let mut state = state();
-    let home = sent_to(&state.apply(ask(), NOW)).expect("an upstream");
+    let home = sent_to(&state.apply(arrival(), NOW)).expect("an upstream");
     let next = refuse(&mut state, 1, Kind::Moved, &["other", "nowhere"]);
     assert_eq!(next.as_ref(), Some(&home), "the home is the only candidate left");
 }
@@ -87,7 +87,7 @@
 #[test]
 fn sends_a_moved_chat_to_its_context_and_then_home() {
     let mut state = state();
-    let home = sent_to(&state.apply(ask(), NOW)).expect("an upstream");
+    let home = sent_to(&state.apply(arrival(), NOW)).expect("an upstream");
     let away = if &*home == "one" { "two" } else { "one" };
     assert_eq!(refuse(&mut state, 1, Kind::Moved, &[away]).as_deref(), Some(away));
     assert_eq!(refuse(&mut state, 2, Kind::OverBound, &[]), Some(home));
@@ -96,7 +96,7 @@
 #[test]
 fn does_not_retry_a_home_that_was_over_its_bound() {
     let mut state = state();
-    let home = sent_to(&state.apply(ask(), NOW)).expect("an upstream");
+    let home = sent_to(&state.apply(arrival(), NOW)).expect("an upstream");
     let away = if &*home == "one" { "two" } else { "one" };
     assert_eq!(refuse(&mut state, 1, Kind::OverBound, &[away]).as_deref(), Some(away));
     assert_eq!(refuse(&mut state, 2, Kind::OverBound, &[]), None);
