--- a/components/experiment/src/overload/fleet/engines.rs
+++ b/components/experiment/src/overload/fleet/engines.rs
@@ -90,7 +90,7 @@
         open.heard = self.now;
         match signal {
             Signal::Lost => {
-                self.apply(router, id, Event::ConnectionFailed { id, attempt, sent: true })
+                self.apply(router, id, Event::ConnectionFailed { id, attempt, sent: true });
             }
             Signal::Refused => {
                 let reply = Reply::Refused(refused());
