--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -263,7 +263,7 @@
                 }
             }
             Ok(Err(fault)) => {
-                self.apply(Event::ConnectionFailed { id, attempt, sent: !fault.nothing_sent() })
+                self.apply(Event::ConnectionFailed { id, attempt, sent: !fault.nothing_sent() });
             }
             Err(_) => self.late(),
         }
