--- a/components/router/src/announcement.rs
+++ b/components/router/src/announcement.rs
@@ -1,6 +1,6 @@
-//! The announcement of this router in the platform's store, while it follows the store.
+//! Announces this router in the platform's store while it polls the store.
 //!
-//! It names the routers that hear from this one, so that one entry counts for many.
+//! One announcement also lists the routers that subscribe to this one.
 
 use std::rc::Rc;
 
@@ -9,55 +9,52 @@
 use spdlog::debug;
 
 use crate::core::Core;
-use crate::feed::PAUSE;
+use crate::feed::RETRY_INTERVAL;
 
-/// How long an announcement lasts after its last renewal.
-const LASTS: Millis = Millis(20_000);
+const LEASE_TTL: Millis = Millis(20_000);
 
-/// Over how long routers announce themselves anew once the store has lost that.
-const SPREAD: Millis = Millis(1_000);
+/// Spread of the fleet's announcements after the store was restored from an older copy.
+const REANNOUNCE_SPREAD: Millis = Millis(1_000);
 
-/// How often it is renewed: two renewals may fail before it lapses.
-const RENEW_EVERY: Millis = Millis(6_000);
+/// Two renewals may fail before the lease expires.
+const RENEW_INTERVAL: Millis = Millis(6_000);
 
-/// How often it is written anew where a router hears from this one that nobody names yet. A fleet
-/// that starts is known to all within about three seconds.
-const CHANGE_EVERY: Millis = Millis(1_000);
+/// Minimum time between updates while a subscriber is missing from all announcements.
+const UPDATE_INTERVAL: Millis = Millis(1_000);
 
-/// How often it is written anew where routers only hear from others than it says: each move of
-/// one would be a call.
-const MOVE_EVERY: Millis = Millis(4_000);
+/// Minimum time between updates when subscribers have only changed their source; limits the calls
+/// to the store.
+const SOURCE_CHANGE_INTERVAL: Millis = Millis(4_000);
 
-/// What stands in the store.
+/// The announcement that the store holds.
 struct Written {
     lease: Lease,
     announcement: Announcement,
-    renewed: Millis,
-    /// When the announcement was written.
-    at: Millis,
+    renewed_at: Millis,
+    written_at: Millis,
 }
 
-/// Announces this router while it follows the store, and keeps that up until a stop is asked
-/// for; then the announcement is taken back.
-pub(crate) async fn keep_up(core: Rc<Core>) {
+/// Keeps this router announced while it polls the store, and withdraws the announcement on
+/// shutdown.
+pub(crate) async fn run(core: Rc<Core>) {
     let mut written = None;
-    let mut follows = core.fleet().follows_changes();
+    let mut poller_changes = core.fleet().poller_changes();
     while !core.stop.is_asked() {
-        if core.fleet().follows() {
-            if let Err(fault) = renew(&core, &mut written).await {
-                debug!("not announced", kv: { reason = fault.to_string() });
+        if core.fleet().is_poller() {
+            if let Err(error) = renew(&core, &mut written).await {
+                debug!("announcement failed", kv: { reason = error.to_string() });
             }
         } else if written.take().is_some() {
             withdraw(&core).await;
         }
-        let pause = if written.is_some() { CHANGE_EVERY } else { PAUSE };
+        let pause = if written.is_some() { UPDATE_INTERVAL } else { RETRY_INTERVAL };
         tokio::select! {
             () = tokio::time::sleep(pause.duration()) => {}
             () = core.stop.asked() => {}
-            _ = follows.changed() => {}
-            () = core.store_is_older.notified() => {
+            _ = poller_changes.changed() => {}
+            () = core.store_restored.notified() => {
                 written = None;
-                wait_for_turn(&core).await;
+                wait_for_offset(&core).await;
             }
         }
     }
@@ -66,51 +63,53 @@
     }
 }
 
-/// Takes the announcement back.
 async fn withdraw(core: &Core) {
-    if let Err(fault) = core.edges().store.withdraw(core.settings.name.clone()).await {
-        // It lapses by itself a little later.
-        debug!("announcement not taken back", kv: { reason = fault.to_string() });
+    if let Err(error) = core.edges().store.withdraw(core.settings.name.clone()).await {
+        // The lease expires soon after.
+        debug!("announcement not withdrawn", kv: { reason = error.to_string() });
     }
 }
 
-/// Waits for this router's part of [`SPREAD`], so that a fleet that announces itself anew keeps
-/// within the store's rates.
-async fn wait_for_turn(core: &Core) {
-    let turn = Millis(placement::key("", &core.settings.name) % SPREAD.0);
-    let _ = tokio::time::timeout(turn.duration(), core.stop.asked()).await;
+/// Waits for this router's offset within [`REANNOUNCE_SPREAD`], which limits the fleet's write
+/// rate.
+async fn wait_for_offset(core: &Core) {
+    let offset = Millis(placement::key("", &core.settings.name) % REANNOUNCE_SPREAD.0);
+    let _ = tokio::time::timeout(offset.duration(), core.stop.asked()).await;
 }
 
-/// Renews the lease when it is time, and writes the announcement where it has changed or its
-/// lease is over.
+/// Renews the lease when due, and writes the announcement if it has changed or its lease has
+/// expired.
 async fn renew(core: &Core, written: &mut Option<Written>) -> Result<(), Error> {
     let store = &core.edges().store;
     let now = core.clock.now();
     let announcement = core.fleet().announcement(now);
-    if let Some(it) = written
-        && it.renewed.until(now) >= RENEW_EVERY
+    if let Some(entry) = written
+        && entry.renewed_at.until(now) >= RENEW_INTERVAL
     {
-        if store.renew_lease(it.lease).await? {
-            it.renewed = now;
+        if store.renew_lease(entry.lease).await? {
+            entry.renewed_at = now;
         } else {
             *written = None;
         }
     }
-    if written.as_ref().is_some_and(|it| may_stay(core, it, &announcement, now)) {
+    if written.as_ref().is_some_and(|entry| is_current(core, entry, &announcement, now)) {
         return Ok(());
     }
-    let (lease, renewed) = match written {
-        Some(it) => (it.lease, it.renewed),
-        None => (store.grant_lease(LASTS).await?, now),
+    let (lease, renewed_at) = match written {
+        Some(entry) => (entry.lease, entry.renewed_at),
+        None => (store.grant_lease(LEASE_TTL).await?, now),
     };
     store.announce(announcement.clone(), lease).await?;
-    *written = Some(Written { lease, announcement, renewed, at: now });
+    *written = Some(Written { lease, announcement, renewed_at, written_at: now });
     Ok(())
 }
 
-/// Whether what is written may stay for now.
-fn may_stay(core: &Core, written: &Written, announcement: &Announcement, now: Millis) -> bool {
-    let is_new = announcement.hearers.iter().any(|it| !core.fleet().roster().is_listed(&it.name));
-    let moved = written.announcement != *announcement;
-    !is_new && (!moved || written.at.until(now) < MOVE_EVERY)
+/// Whether the announcement in the store needs no update yet.
+fn is_current(core: &Core, written: &Written, announcement: &Announcement, now: Millis) -> bool {
+    let is_unlisted = announcement
+        .hearers
+        .iter()
+        .any(|subscriber| !core.fleet().roster().is_listed(&subscriber.name));
+    let has_changed = written.announcement != *announcement;
+    !is_unlisted && (!has_changed || written.written_at.until(now) < SOURCE_CHANGE_INTERVAL)
 }
--- a/components/router/src/answer.rs
+++ b/components/router/src/answer.rs
@@ -1,18 +1,17 @@
-//! Answers over HTTP: those of upstreams, and errors of the fleet's own.
+//! HTTP responses: those of upstreams, and the router's own errors.
 
 use errors::{Answer, Kind};
 use ntex::http::StatusCode;
 use ntex::web::{HttpResponse, HttpResponseBuilder};
 use wire::Head;
 
-/// The header that carries the request's id.
 pub(crate) const REQUEST_ID: &str = "x-request-id";
 
 /// The header that names the upstream that answered.
 pub(crate) const UPSTREAM: &str = "x-upstream";
 
-/// Status and headers of an upstream's answer.
-pub(crate) fn passed_on(head: &Head) -> HttpResponseBuilder {
+/// Status and headers of an upstream's response.
+pub(crate) fn forwarded(head: &Head) -> HttpResponseBuilder {
     let status = StatusCode::from_u16(head.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut builder = HttpResponse::build(status);
     for (name, value) in &head.headers {
@@ -21,7 +20,7 @@
     builder
 }
 
-/// The error as a whole HTTP response.
+/// A complete HTTP response for an error.
 pub(crate) fn response(answer: &Answer) -> HttpResponse {
     let mut builder = error(answer);
     builder.header(REQUEST_ID, &*answer.request_id);
@@ -31,8 +30,8 @@
     builder.body(answer.to_json())
 }
 
-/// Status and type of an error. The connection ends with it where the rest of
-/// the request's body is not read.
+/// Status and content type of an error. Closes the connection if the rest of the request body is
+/// left unread.
 pub(crate) fn error(answer: &Answer) -> HttpResponseBuilder {
     let status = StatusCode::from_u16(answer.kind.row().status);
     let mut builder = HttpResponse::build(status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR));
@@ -43,12 +42,12 @@
     builder
 }
 
-/// The fault that breaks the connection of an answer that will not be whole.
-pub(crate) fn broken() -> std::io::Error {
+/// The error that aborts the connection of an incomplete response.
+pub(crate) fn aborted() -> std::io::Error {
     std::io::Error::other("the answer broke off")
 }
 
-/// The error as a server-sent event, for a stream that has begun.
+/// An error as a server-sent event, for a stream that has already begun.
 pub(crate) fn event(answer: &Answer) -> String {
     format!("event: error\ndata: {}\n\n", answer.to_json())
 }
--- a/components/router/src/background.rs
+++ b/components/router/src/background.rs
@@ -1,4 +1,4 @@
-//! What a router does besides serving requests.
+//! Background tasks of a router.
 
 use std::path::Path;
 use std::rc::Rc;
@@ -17,43 +17,42 @@
 
 use crate::core::Core;
 use crate::error::{Error, IntentsSnafu, ReadSnafu};
-use crate::memory::Memory;
-use crate::{announcement, crashes, feed, hints, memory, places, telling};
+use crate::persistence::Saver;
+use crate::{announcement, crashes, feed, hints, permits, persistence, query_server};
 
-/// How often the file of the intents is looked at.
-const INTENTS_EVERY: Duration = Duration::from_secs(1);
+/// How often the intents file is checked for changes.
+const INTENTS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Reads and compiles the intents.
 pub(crate) fn read_plan(path: &str) -> Result<Arc<Plan>, Error> {
     let json = std::fs::read_to_string(path).context(ReadSnafu { path })?;
     let document = Document::parse(&json).context(IntentsSnafu { path })?;
     Ok(Arc::new(Plan::compile(document).context(IntentsSnafu { path })?))
 }
 
-/// Starts the tasks; they end when the stop is finished.
-pub(crate) fn spawn(core: &Rc<Core>, outbox: Receiver<Effect>) {
+/// Spawns the tasks; they end when the shutdown is complete.
+pub(crate) fn spawn(core: &Rc<Core>, directory_updates: Receiver<Effect>) {
     let core = core.clone();
     ntex::rt::spawn(async move {
         let mut tasks = JoinSet::new();
         if let Some(direct) = &core.settings.direct {
-            let (memory, pending) = Memory::new();
-            tasks.spawn_local(feed::follow(core.clone(), Millis(direct.look_ms), memory));
-            tasks.spawn_local(memory::keep_hosts(core.clone(), pending.clone()));
-            tasks.spawn_local(memory::keep_parts(core.clone(), pending));
-            tasks.spawn_local(announcement::keep_up(core.clone()));
-            tasks.spawn_local(hints::listen(core.clone()));
-            tasks.spawn_local(hints::tell_loads(core.clone()));
-            tasks.spawn_local(hints::spread(core.clone()));
-            tasks.spawn_local(places::run(core.clone()));
-            tasks.spawn_local(telling::serve(core.clone()));
-            tasks.spawn_local(crashes::check(core.clone()));
-            tasks.spawn_local(crashes::tell(core.clone()));
+            let (saver, pending) = Saver::new();
+            tasks.spawn_local(feed::run(core.clone(), Millis(direct.look_ms), saver));
+            tasks.spawn_local(persistence::save_hosts(core.clone(), pending.clone()));
+            tasks.spawn_local(persistence::save_prefixes(core.clone(), pending));
+            tasks.spawn_local(announcement::run(core.clone()));
+            tasks.spawn_local(hints::receive(core.clone()));
+            tasks.spawn_local(hints::publish(core.clone()));
+            tasks.spawn_local(hints::forward(core.clone()));
+            tasks.spawn_local(permits::run(core.clone()));
+            tasks.spawn_local(query_server::serve(core.clone()));
+            tasks.spawn_local(crashes::run_checks(core.clone()));
+            tasks.spawn_local(crashes::run_reports(core.clone()));
         } else {
-            tasks.spawn_local(follow_hosts(core.clone()));
-            tasks.spawn_local(follow_intents(core.clone()));
+            tasks.spawn_local(poll_hosts(core.clone()));
+            tasks.spawn_local(watch_intents(core.clone()));
         }
-        tasks.spawn_local(follow_settings(core.clone()));
-        tasks.spawn_local(send_notes(core.clone(), outbox));
+        tasks.spawn_local(watch_settings(core.clone()));
+        tasks.spawn_local(send_directory_updates(core.clone(), directory_updates));
         core.stop.asked().await;
         tokio::time::sleep(Duration::from_millis(core.settings.drain_notice_ms)).await;
         let until = core.clock.now() + Millis(core.settings.drain_ms);
@@ -64,7 +63,7 @@
     .detach();
 }
 
-async fn follow_hosts(core: Rc<Core>) {
+async fn poll_hosts(core: Rc<Core>) {
     let every = Duration::from_millis(core.settings.hosts_every_ms);
     let Ok(mut hosts) = store::Hosts::new(&core.settings.hosts_url).await else { return };
     let mut connecting = JoinSet::new();
@@ -86,9 +85,8 @@
     }
 }
 
-/// Puts the decisions' settings in force whenever the file was read again. The
-/// others take a restart.
-async fn follow_settings(core: Rc<Core>) {
+/// Applies reloaded routing settings. All other settings need a restart.
+async fn watch_settings(core: Rc<Core>) {
     let mut changes = core.reload.clone();
     while changes.changed().await.is_ok() {
         let routing = changes.borrow_and_update().routing.clone();
@@ -124,44 +122,44 @@
     }
 }
 
-/// Takes a new generation from the file when the file changes.
-async fn follow_intents(core: Rc<Core>) {
+/// Applies a new configuration when the intents file changes.
+async fn watch_intents(core: Rc<Core>) {
     let path = core.settings.intents.clone();
-    let mut seen = changed(&path);
+    let mut last_modified = modified_at(&path);
     loop {
-        tokio::time::sleep(INTENTS_EVERY).await;
-        let now = changed(&path);
-        if now == seen {
+        tokio::time::sleep(INTENTS_INTERVAL).await;
+        let modified = modified_at(&path);
+        if modified == last_modified {
             continue;
         }
-        seen = now;
+        last_modified = modified;
         match read_plan(&path) {
             Ok(plan) => {
                 info!("new intents read", kv: { generation = plan.generation() });
                 core.apply(Event::Configure(plan));
             }
-            Err(fault) => error!("new intents refused", kv: { fault = fault.to_string() }),
+            Err(error) => error!("new intents refused", kv: { fault = error.to_string() }),
         }
     }
 }
 
-fn changed(path: &str) -> Option<SystemTime> {
+fn modified_at(path: &str) -> Option<SystemTime> {
     Path::new(path).metadata().ok()?.modified().ok()
 }
 
-/// Tells first upstreams in rank where chats are; a lost note costs a chat its
-/// context, no more.
-async fn send_notes(core: Rc<Core>, mut outbox: Receiver<Effect>) {
+/// Sends directory updates to the first upstreams in rank. A lost update only costs a chat its
+/// cached context.
+async fn send_directory_updates(core: Rc<Core>, mut directory_updates: Receiver<Effect>) {
     let timeout = Duration::from_millis(core.settings.connect_ms);
-    while let Some(effect) = outbox.recv().await {
+    while let Some(effect) = directory_updates.recv().await {
         let Effect::UpdateDirectory { upstream, address, note } = effect else { continue };
         let frame = Frame::DirectoryUpdate(note);
-        core.metrics.control("note", wire::encode(&frame).map_or(0, |it| it.len()));
-        let told = async {
+        core.metrics.control("note", wire::encode(&frame).map_or(0, |frame| frame.len()));
+        let exchange = async {
             if let Ok((mut call, _)) = core.links.call(&upstream, &address, &frame).await {
                 let _ = call.next().await;
             }
         };
-        let _ = tokio::time::timeout(timeout, told).await;
+        let _ = tokio::time::timeout(timeout, exchange).await;
     }
 }
--- a/components/router/src/core.rs
+++ b/components/router/src/core.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a router share.
+//! State shared by the tasks of a router.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -19,64 +19,62 @@
     Delay, Demands, Frame, Hello, Loads, Observations, Outcome, UpstreamCrash, WarmPrefixes,
 };
 
+use crate::clients::Clients;
 use crate::crashes::Crashes;
 use crate::decisions::Decisions;
 use crate::fleet::Fleet;
-use crate::hearing::Hearing;
 use crate::peers::Peers;
-use crate::places::Places;
-use crate::reach::Direct;
-use crate::{report, shares};
+use crate::permits::Permits;
+use crate::query_client::QueryClient;
+use crate::{report, saturation};
 
-/// The name of this kind of process in metrics and traces.
+/// The service name in metrics and traces.
 const SERVICE: &str = "silverstack-router";
 
-/// The most notes that wait to be sent.
-const MAX_NOTES: usize = 1_024;
+const MAX_QUEUED_UPDATES: usize = 1_024;
 
-/// How long a request waits for the first configuration. A router that starts
-/// has it after 60 to 140 ms on the sites.
-const FIRST_PLAN: Duration = Duration::from_millis(300);
+/// How long a request waits for the first configuration after a start.
+const FIRST_PLAN_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The state of a router and its edges.
+/// The routing state and everything that carries out its effects.
 pub(crate) struct Core {
     pub settings: Arc<settings::Router>,
     pub clock: Clock,
     pub links: Links,
     pub stop: process::Stop,
-    /// The settings as they were read last.
+    /// The latest settings.
     pub reload: watch::Receiver<settings::Router>,
     pub store: Option<store::Store>,
     /// Set where upstreams are reached directly.
-    direct: Option<Direct>,
-    /// The other routers, as far as looks at the platform's store are shared with them.
+    clients: Option<Clients>,
+    /// The other routers, as sources of the store's content.
     fleet: Fleet,
-    /// Asks other routers.
-    pub hearing: Hearing,
+    /// Queries other routers.
+    pub query_client: QueryClient,
     pub decisions: RefCell<Decisions>,
-    notes: Sender<Effect>,
-    /// Under what work upstreams ended, as this router tells.
+    directory_updates: Sender<Effect>,
+    /// Crashes that this router has observed.
     pub crashes: Crashes,
-    /// The places of pools that are short.
-    pub places: Places,
-    /// Tells that the platform's store has lost what was written there last.
-    pub store_is_older: Notify,
+    /// Permits of saturated pools.
+    pub permits: Permits,
+    /// Notified when the platform's store was restored from an older copy.
+    pub store_restored: Notify,
     pub metrics: Metrics,
     pub tracer: Tracer,
     state: RefCell<State>,
-    /// Tells those that wait for the first configuration.
+    /// Notified when the first configuration is applied.
     first_plan: Notify,
     started: Millis,
     requests: Cell<u64>,
 }
 
 impl Core {
-    /// A router with `plan` in force, if there is one yet, and the notes that it
-    /// wants sent. `direct` is set on a platform.
+    /// Creates a router with `plan` as its configuration, if there is one yet, and the queue of
+    /// directory updates to send. `clients` is set on a platform.
     pub(crate) async fn new(
         settings: Arc<settings::Router>,
         plan: Option<Arc<Plan>>,
-        direct: Option<Direct>,
+        clients: Option<Clients>,
         stop: process::Stop,
         reload: watch::Receiver<settings::Router>,
     ) -> (Rc<Self>, Receiver<Effect>) {
@@ -90,8 +88,8 @@
             Some(url) => store::Store::new(url).await.ok(),
             None => None,
         };
-        let (notes, outbox) = channel(MAX_NOTES);
-        let own = own(&settings, direct.as_ref());
+        let (directory_updates, queued_updates) = channel(MAX_QUEUED_UPDATES);
+        let own_peer = own_peer(&settings, clients.as_ref());
         let hello = Hello { key: settings.link_key.clone(), name: settings.name.clone() };
         let core = Rc::new(Self {
             clock,
@@ -99,14 +97,14 @@
             stop,
             reload,
             store,
-            direct,
-            fleet: Fleet::new(own, started),
-            hearing: Hearing::new(hello),
+            clients,
+            fleet: Fleet::new(own_peer, started),
+            query_client: QueryClient::new(hello),
             decisions: RefCell::new(Decisions::new(settings.routing.decisions)),
-            notes,
+            directory_updates,
             crashes: Crashes::default(),
-            places: Places::default(),
-            store_is_older: Notify::new(),
+            permits: Permits::default(),
+            store_restored: Notify::new(),
             metrics: Metrics::new(SERVICE),
             tracer: tracer(&settings),
             settings,
@@ -115,21 +113,20 @@
             started,
             requests: Cell::new(0),
         });
-        (core, outbox)
+        (core, queued_updates)
     }
 
-    /// Waits for the first configuration, for as long as one usually takes to
-    /// come at a start; returns whether there is one.
-    pub(crate) async fn configured(&self) -> bool {
+    /// Waits a short time for the first configuration; returns whether there is one.
+    pub(crate) async fn wait_until_configured(&self) -> bool {
         if self.plan().is_some() {
             return true;
         }
-        let _ = tokio::time::timeout(FIRST_PLAN, self.first_plan.notified()).await;
+        let _ = tokio::time::timeout(FIRST_PLAN_TIMEOUT, self.first_plan.notified()).await;
         self.plan().is_some()
     }
 
-    /// Takes an event to the reducer and returns the effects that concern one
-    /// request; the end of a drain is carried out here.
+    /// Applies an event to the routing state, carries out the effects that concern the whole
+    /// router, and returns those that concern one request.
     pub(crate) fn apply(&self, event: Event) -> Vec<Effect> {
         let configures = matches!(event, Event::Configure(_));
         let mut effects = self.state.borrow_mut().apply(event, self.clock.now());
@@ -142,12 +139,12 @@
                 false
             }
             Effect::PublishPrefixes(warm) => {
-                self.share(warm);
+                self.publish_warm(warm);
                 false
             }
             Effect::Suspect { upstream, failures, reachable, until } => {
-                let pause = self.clock.now().until(*until);
-                report::suspected(upstream, *failures, *reachable, pause);
+                let backoff = self.clock.now().until(*until);
+                report::suspected(upstream, *failures, *reachable, backoff);
                 false
             }
             Effect::Recovered { upstream } => {
@@ -156,12 +153,12 @@
             }
             Effect::Leaving { upstream } => {
                 self.metrics.belief("upstream_leaves");
-                report::leaves(upstream);
+                report::leaving(upstream);
                 false
             }
             Effect::Backoff { upstream, duration } => {
                 self.metrics.belief("upstream_rests");
-                report::rests(upstream, *duration);
+                report::asked_for_backoff(upstream, *duration);
                 false
             }
             Effect::Check { upstream, address } => {
@@ -170,28 +167,28 @@
             }
             Effect::ReportCrashes(crashes) => {
                 report::crashed(crashes);
-                self.tell_ended(crashes);
+                self.broadcast_crash(crashes);
                 self.crashes.add(crashes);
                 false
             }
             Effect::ReportCleared(clearing) => {
                 self.metrics.belief("work_cleared");
                 report::cleared(clearing.fingerprint);
-                self.tell_cleared(clearing.fingerprint);
+                self.broadcast_cleared(clearing.fingerprint);
                 self.crashes.clear(clearing);
                 false
             }
             Effect::Release { pool, number, end, elapsed: took } => {
-                self.places.release(self, pool, *number, *end, *took);
+                self.permits.release(self, pool, *number, *end, *took);
                 false
             }
             Effect::ReportSaturation { pool } => {
-                self.places.runs_short(self, pool);
+                self.permits.report_saturation(self, pool);
                 false
             }
             Effect::Quarantine { fingerprint, duration } => {
                 self.metrics.belief("work_held_back");
-                report::held_back(*fingerprint, *duration);
+                report::quarantined(*fingerprint, *duration);
                 false
             }
             _ => true,
@@ -201,104 +198,101 @@
 
     /// The other routers, where hints are exchanged with them.
     pub(crate) fn peers(&self) -> Option<&Peers> {
-        self.direct.as_ref()?.peers.as_ref()
+        self.clients.as_ref()?.peers.as_ref()
     }
 
-    /// The other routers, as far as looks at the platform's store are shared with them.
+    /// The other routers, as sources of the store's content.
     pub(crate) fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// The upstreams of a pool that may be sent to, and their slots.
-    pub(crate) fn places_of(&self, pool: &str) -> Vec<(Arc<str>, u64)> {
+    /// The upstreams of a pool that may be used, with their slots.
+    pub(crate) fn available_slots(&self, pool: &str) -> Vec<(Arc<str>, u64)> {
         self.state.borrow().available_slots(pool, self.clock.now())
     }
 
-    /// How old the proof is that the configuration in force is the newest.
-    pub(crate) fn proof_ms(&self) -> Option<u64> {
+    /// Time since the configuration in force was last confirmed to be the newest.
+    pub(crate) fn confirmation_age_ms(&self) -> Option<u64> {
         self.state.borrow().confirmation_age_ms(self.clock.now())
     }
 
-    /// Tells the other routers where parts of prompts are warm.
-    fn share(&self, warm: &WarmPrefixes) {
+    /// Sends warm prefixes to the other routers.
+    fn publish_warm(&self, warm: &WarmPrefixes) {
         let peers = self.peers().filter(|_| self.settings.routing.mechanisms.hints);
         if let Some(peers) = peers {
-            let bytes = peers.tell(Frame::WarmPrefixes(warm.clone()), self.clock.now());
+            let bytes = peers.broadcast(Frame::WarmPrefixes(warm.clone()), self.clock.now());
             self.metrics.control("warm", bytes);
         }
     }
 
-    /// Tells the other routers of ends of an upstream, beside what is told through the store:
-    /// a router that was stopped while the store was silent took two with it, and the work ended
-    /// four more upstreams where three are allowed.
-    fn tell_ended(&self, crashes: &[Crash]) {
+    /// Broadcasts crashes of an upstream, in addition to the report in the store, which may be
+    /// unavailable.
+    fn broadcast_crash(&self, crashes: &[Crash]) {
         if let (Some(peers), Some(first)) = (self.peers(), crashes.first()) {
-            let contents = crashes.iter().map(|it| it.fingerprint).collect();
-            let ended = UpstreamCrash { upstream: first.upstream.clone(), fingerprints: contents };
-            let bytes = peers.tell(Frame::UpstreamCrash(ended), self.clock.now());
+            let fingerprints = crashes.iter().map(|crash| crash.fingerprint).collect();
+            let crash = UpstreamCrash { upstream: first.upstream.clone(), fingerprints };
+            let bytes = peers.broadcast(Frame::UpstreamCrash(crash), self.clock.now());
             self.metrics.control("ended", bytes);
         }
     }
 
-    /// Tells the other routers that work was answered in full, beside what is told through the
-    /// store.
-    fn tell_cleared(&self, content: u64) {
+    /// Broadcasts that work was completed, in addition to the report in the store.
+    fn broadcast_cleared(&self, fingerprint: u64) {
         if let Some(peers) = self.peers() {
-            let bytes = peers.tell(Frame::Cleared(vec![content]), self.clock.now());
+            let bytes = peers.broadcast(Frame::Cleared(vec![fingerprint]), self.clock.now());
             self.metrics.control("cleared", bytes);
         }
     }
 
-    /// This router's own load at its upstreams.
+    /// This router's own load on its upstreams.
     pub(crate) fn loads(&self) -> Loads {
         self.state.borrow().loads(&self.settings.name, self.clock.now())
     }
 
-    /// What is known of warm parts, and how often it has changed.
-    pub(crate) fn warm_parts(&self) -> (u64, Vec<WarmPrefixes>) {
+    /// The known warm prefixes and the number of changes to them.
+    pub(crate) fn warm_prefixes(&self) -> (u64, Vec<WarmPrefixes>) {
         self.state.borrow().warm_prefixes()
     }
 
-    /// What answers have told of loads since this was asked last.
-    pub(crate) fn heard(&self) -> Observations {
+    /// Takes the load observations collected since the last call.
+    pub(crate) fn take_observations(&self) -> Observations {
         self.state.borrow_mut().take_observations(self.clock.now())
     }
 
-    /// How requests have ended since this was asked last.
-    pub(crate) fn outcomes(&self) -> Vec<Outcome> {
+    /// Takes the request outcomes collected since the last call.
+    pub(crate) fn take_outcomes(&self) -> Vec<Outcome> {
         self.state.borrow_mut().take_outcomes()
     }
 
-    /// What upstreams have told of their pace since this was asked last.
-    pub(crate) fn paces(&self) -> Vec<wire::Pace> {
+    /// Takes the pace reports of upstreams collected since the last call.
+    pub(crate) fn take_paces(&self) -> Vec<wire::Pace> {
         self.state.borrow_mut().take_paces(self.clock.now())
     }
 
-    /// How long requests have waited since this was asked last.
-    pub(crate) fn delays(&self) -> Vec<Delay> {
+    /// Takes the queueing delays collected since the last call.
+    pub(crate) fn take_delays(&self) -> Vec<Delay> {
         self.state.borrow_mut().take_delays()
     }
 
-    /// What is asked of the pools that are short.
+    /// This router's demand on saturated pools.
     pub(crate) fn demands(&self) -> Vec<Demands> {
         self.state.borrow().demands(&self.settings.name, self.clock.now())
     }
 
-    /// When a caller that is refused for `kind` is told to come back, in milliseconds.
+    /// The `Retry-After` of a refusal of `kind`, in milliseconds.
     pub(crate) fn retry_after_ms(&self, kind: Kind) -> u64 {
         self.state.borrow().retry_after_ms(kind, self.clock.now())
     }
 
-    /// Whether callers are better served by another router, to which a new connection
-    /// leads them.
-    pub(crate) fn sends_away(&self, kind: Kind) -> bool {
+    /// Whether callers should reconnect, so that another router serves them.
+    pub(crate) fn should_reconnect(&self, kind: Kind) -> bool {
         let elsewhere = || self.state.borrow().has_current_peer(self.clock.now());
         self.stop.is_asked() || (kind == Kind::StaleConfiguration && elsewhere())
     }
 
     /// Whether upstreams are reached directly.
     pub(crate) fn is_direct(&self) -> bool {
-        self.direct.is_some()
+        self.clients.is_some()
     }
 
     /// The platform's edges.
@@ -307,31 +301,29 @@
     ///
     /// The router does not run on a platform.
     pub(crate) fn edges(&self) -> &Adapter {
-        &self.direct.as_ref().expect("only called on a platform").edges
+        &self.clients.as_ref().expect("only called on a platform").edges
     }
 
-    /// The client that reaches upstreams.
+    /// The client for upstreams.
     ///
     /// # Panics
     ///
     /// The router does not run on a platform.
     pub(crate) fn client(&self) -> &Client {
-        &self.direct.as_ref().expect("only called on a platform").client
+        &self.clients.as_ref().expect("only called on a platform").client
     }
 
-    /// Whether the configuration is new enough to say that something is
-    /// unknown.
-    pub(crate) fn knows_all(&self) -> bool {
+    /// Whether the configuration is recent enough to conclude that an unknown name does not exist.
+    pub(crate) fn is_authoritative(&self) -> bool {
         self.state.borrow().is_confirmed_within(self.settings.routing.unknown_ms, self.clock.now())
     }
 
-    /// Hands a note to the task that sends them; nobody waits for it, and it is
-    /// dropped while too many wait.
-    pub(crate) fn tell(&self, note: Effect) {
-        let _ = self.notes.try_send(note);
+    /// Queues a directory update for sending; drops it if the queue is full.
+    pub(crate) fn queue_update(&self, update: Effect) {
+        let _ = self.directory_updates.try_send(update);
     }
 
-    /// Counts, logs and keeps the decision on a request that has ended.
+    /// Counts, logs and stores the decision on a completed request.
     pub(crate) fn record(&self, decision: &Arc<Decision>, trace: &str) {
         let error: Option<&'static str> = decision.error.map(Into::into);
         let outcome: &'static str = decision.outcome.into();
@@ -341,21 +333,21 @@
             self.metrics.standing(&decision.pool, standing.rank.name());
         }
         report::ended(decision, trace);
-        self.decisions.borrow_mut().keep(decision.clone());
+        self.decisions.borrow_mut().insert(decision.clone());
     }
 
-    /// Counts and logs a request that was refused before it was decided on.
+    /// Counts and logs a request that was refused before routing.
     pub(crate) fn reject(&self, request: &str, kind: Kind) {
         let error: &'static str = kind.into();
         self.metrics.request(kind.row().outcome.into(), Some(error));
         let state = self.state.borrow();
-        let generation = state.plan().map_or(0, |it| it.generation());
+        let generation = state.plan().map_or(0, |plan| plan.generation());
         report::refused(request, error, generation, state.confirmation_age_ms(self.clock.now()));
     }
 
-    /// A number for a new request, and the id that others see: the router, its
-    /// start and the number.
-    pub(crate) fn number(&self) -> (u64, Arc<str>) {
+    /// Number and public id of a new request. The id contains the router's name, its start time and
+    /// the number.
+    pub(crate) fn next_id(&self) -> (u64, Arc<str>) {
         let number = self.requests.get() + 1;
         self.requests.set(number);
         let id = format!("{}-{:x}-{number:x}", self.settings.name, self.started.0);
@@ -379,37 +371,37 @@
         let now = self.clock.now();
         let upstreams: Vec<_> = state
             .upstreams()
-            .map(|it| {
+            .map(|upstream| {
                 serde_json::json!({
-                    "name": &**it.name(),
-                    "incarnation": it.incarnation(),
-                    "load": it.load(),
-                    "up": it.is_up(now),
-                    "leaving": it.is_leaving(),
-                    "rest_ms": it.backoff(now).0,
+                    "name": &**upstream.name(),
+                    "incarnation": upstream.incarnation(),
+                    "load": upstream.load(),
+                    "up": upstream.is_up(now),
+                    "leaving": upstream.is_leaving(),
+                    "rest_ms": upstream.backoff(now).0,
                 })
             })
             .collect();
         serde_json::json!({
             "name": &*self.settings.name,
-            "generation": state.plan().map_or(0, |it| it.generation()),
+            "generation": state.plan().map_or(0, |plan| plan.generation()),
             "in_flight": state.in_flight(),
             "draining": self.stop.is_asked(),
             "evacuated": state.evacuated().collect::<Vec<_>>(),
             "upstreams": upstreams,
-            "short": shares::short(&state, now),
-            "places": self.places.status(now),
+            "short": saturation::snapshot(&state, now),
+            "places": self.permits.snapshot(now),
         })
     }
 }
 
-/// This router as others know it.
-fn own(settings: &settings::Router, direct: Option<&Direct>) -> Peer {
+/// This router's own entry, as announced to others.
+fn own_peer(settings: &settings::Router, clients: Option<&Clients>) -> Peer {
     Peer {
         name: settings.name.clone(),
-        hints: direct.and_then(|it| it.peers.as_ref()).map(Peers::address),
+        hints: clients.and_then(|clients| clients.peers.as_ref()).map(Peers::address),
         domain: settings.domain.clone(),
-        strength: settings.direct.as_ref().map_or(0, |it| it.strength),
+        strength: settings.direct.as_ref().map_or(0, |direct| direct.strength),
     }
 }
 
--- a/components/router/src/crashes.rs
+++ b/components/router/src/crashes.rs
@@ -1,7 +1,7 @@
-//! Under what work upstreams ended: finding that out, and telling the other routers.
+//! Detects crashes of upstreams and reports them to the other routers.
 //!
-//! It is told through the platform's store, one entry a router, so that a router knows it that
-//! starts later or hears nothing of the others. The promise that work is held back rests on it.
+//! Reports go through the platform's store, one entry per router, so that they also reach routers
+//! that start later or miss broadcasts. Quarantine relies on them.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -16,145 +16,144 @@
 use tokio::task::JoinSet;
 
 use crate::core::Core;
-use crate::feed::PAUSE;
+use crate::feed::RETRY_INTERVAL;
 
-/// The most ends that one router tells: about 24 KB. Engines of the sites run 64 requests at
-/// once, of which each router has a part.
-const MOST: usize = 256;
+/// The most crashes in one report; about 24 KB.
+const MAX_CRASHES: usize = 256;
 
-/// The longest that the platform keeps a lease, in milliseconds.
-const LONGEST_LEASE: Millis = Millis(600_000);
+/// The longest lease that the platform grants.
+const MAX_LEASE_TTL: Millis = Millis(600_000);
 
-/// What this router has found out.
+/// Crashes observed by this router.
 #[derive(Debug, Default)]
 pub(crate) struct Crashes {
-    /// What it tells, the latest last.
+    /// Crashes to report, newest last.
     own: RefCell<VecDeque<Crash>>,
-    /// The upstreams to be checked, and their addresses.
-    asked: RefCell<BTreeMap<Arc<str>, Arc<str>>>,
+    /// Upstreams to check, with their addresses.
+    pending_checks: RefCell<BTreeMap<Arc<str>, Arc<str>>>,
     to_check: Notify,
-    to_tell: Notify,
+    to_report: Notify,
 }
 
 impl Crashes {
-    /// Has an upstream checked.
+    /// Schedules a check of an upstream.
     pub(crate) fn check(&self, upstream: &Arc<str>, address: &Arc<str>) {
-        self.asked.borrow_mut().insert(upstream.clone(), address.clone());
+        self.pending_checks.borrow_mut().insert(upstream.clone(), address.clone());
         self.to_check.notify_one();
     }
 
-    /// Has the other routers told.
+    /// Schedules a report of `crashes`.
     pub(crate) fn add(&self, crashes: &[Crash]) {
-        self.keep(crashes);
-        self.to_tell.notify_one();
+        self.push(crashes);
+        self.to_report.notify_one();
     }
 
-    /// Has the other routers told that work is cleared, in place of its ends.
+    /// Schedules a report that work is cleared, which replaces the reports of its crashes.
     pub(crate) fn clear(&self, clearing: &Crash) {
-        self.take_back(&[clearing.fingerprint]);
+        self.withdraw(&[clearing.fingerprint]);
         self.add(std::slice::from_ref(clearing));
     }
 
-    /// Tells no longer that upstreams ended under these works.
-    pub(crate) fn take_back(&self, contents: &[u64]) {
+    /// Withdraws the reported crashes of the given fingerprints.
+    pub(crate) fn withdraw(&self, fingerprints: &[u64]) {
         let mut own = self.own.borrow_mut();
         let before = own.len();
-        own.retain(|it| it.cleared || !contents.contains(&it.fingerprint));
+        own.retain(|crash| crash.cleared || !fingerprints.contains(&crash.fingerprint));
         if own.len() < before {
-            self.to_tell.notify_one();
+            self.to_report.notify_one();
         }
     }
 
-    /// Takes what this router told before, in an earlier life.
-    pub(crate) fn recall(&self, crashes: &[Crash]) {
-        self.keep(crashes);
+    /// Restores what this router had reported before its restart.
+    pub(crate) fn restore(&self, crashes: &[Crash]) {
+        self.push(crashes);
     }
 
-    /// What was told is no longer kept: it is told again.
-    pub(crate) fn tell_again(&self) {
+    /// Schedules a new report after the stored one was lost.
+    pub(crate) fn report_again(&self) {
         if !self.own.borrow().is_empty() {
-            self.to_tell.notify_one();
+            self.to_report.notify_one();
         }
     }
 
-    fn keep(&self, crashes: &[Crash]) {
+    fn push(&self, crashes: &[Crash]) {
         let mut own = self.own.borrow_mut();
         for crash in crashes {
             if !own.contains(crash) {
                 own.push_back(crash.clone());
             }
         }
-        let surplus = own.len().saturating_sub(MOST);
+        let surplus = own.len().saturating_sub(MAX_CRASHES);
         own.drain(..surplus);
     }
 
-    /// What is to be told: nothing that is older than `lasts`.
-    fn told(&self, lasts: Millis, now: Millis) -> Vec<Crash> {
+    /// The crashes to report: those younger than `retention`.
+    fn reportable(&self, retention: Millis, now: Millis) -> Vec<Crash> {
         let mut own = self.own.borrow_mut();
-        own.retain(|it| it.at.until(now) < lasts);
+        own.retain(|crash| crash.at.until(now) < retention);
         own.iter().cloned().collect()
     }
 }
 
-/// Checks upstreams at which requests broke off, until the process stops.
-pub(crate) async fn check(core: Rc<Core>) {
+/// Checks upstreams whose connections broke during requests, until shutdown.
+pub(crate) async fn run_checks(core: Rc<Core>) {
     let mut checks = JoinSet::new();
     loop {
         core.crashes.to_check.notified().await;
-        let asked = std::mem::take(&mut *core.crashes.asked.borrow_mut());
-        for (upstream, address) in asked {
-            checks.spawn_local(check_one(core.clone(), upstream, address));
+        let pending_checks = std::mem::take(&mut *core.crashes.pending_checks.borrow_mut());
+        for (upstream, address) in pending_checks {
+            checks.spawn_local(check_upstream(core.clone(), upstream, address));
         }
         while checks.try_join_next().is_some() {}
     }
 }
 
-/// Opens a connection, which the next request uses.
-async fn check_one(core: Rc<Core>, upstream: Arc<str>, address: Arc<str>) {
+/// Opens a connection, which the next request reuses.
+async fn check_upstream(core: Rc<Core>, upstream: Arc<str>, address: Arc<str>) {
     let check = match core.client().open(&address).await {
         Ok(()) => Liveness::Alive,
-        Err(fault) if fault.is_refusal() => Liveness::Dead,
+        Err(error) if error.is_refusal() => Liveness::Dead,
         Err(_) => Liveness::Unknown,
     };
     info!("upstream checked", kv: { upstream = &*upstream, found = format!("{check:?}") });
     core.apply(Event::Checked { upstream, check });
 }
 
-/// Tells the other routers, until the process stops.
-pub(crate) async fn tell(core: Rc<Core>) {
+/// Reports crashes to the store until shutdown.
+pub(crate) async fn run_reports(core: Rc<Core>) {
     let mut lease = None;
     loop {
-        core.crashes.to_tell.notified().await;
-        while let Err(fault) = tell_once(&core, &mut lease).await {
-            warn!("ends of upstreams not told", kv: { reason = fault.to_string() });
+        core.crashes.to_report.notified().await;
+        while let Err(error) = write_report(&core, &mut lease).await {
+            warn!("crash report not written", kv: { reason = error.to_string() });
             lease = None;
-            tokio::time::sleep(PAUSE.duration()).await;
+            tokio::time::sleep(RETRY_INTERVAL.duration()).await;
         }
     }
 }
 
-/// A lease, and when it was granted.
-type Held = Option<(Lease, Millis)>;
+/// A lease and the time of its grant.
+type GrantedLease = Option<(Lease, Millis)>;
 
-/// Writes all that is to be told. It lasts as long as what is told is to be remembered: a lease
-/// that has used up half of its time, or is of an earlier era, is replaced.
-async fn tell_once(core: &Core, held: &mut Held) -> Result<(), Error> {
+/// Writes the report under a lease that lasts as long as the quarantine. Replaces a lease that is
+/// past half of its time or belongs to an earlier era of the store.
+async fn write_report(core: &Core, lease_slot: &mut GrantedLease) -> Result<(), Error> {
     let store = &core.edges().store;
-    let lasts = Millis(core.settings.routing.quarantine_ms);
-    let ttl = lasts.min(LONGEST_LEASE);
+    let retention = Millis(core.settings.routing.quarantine_ms);
+    let ttl = retention.min(MAX_LEASE_TTL);
     let now = core.clock.now();
-    let is_fresh = |(lease, granted): &(Lease, Millis)| {
+    let is_usable = |(lease, granted): &(Lease, Millis)| {
         lease.era == store.era() && granted.until(now).0 < ttl.0 / 2
     };
-    let fresh = held.filter(is_fresh);
-    let (lease, granted) = match fresh {
-        Some(fresh) => fresh,
+    let usable = lease_slot.filter(is_usable);
+    let (lease, granted) = match usable {
+        Some(usable) => usable,
         None => (store.grant_lease(ttl).await?, now),
     };
-    *held = Some((lease, granted));
-    let crashes = core.crashes.told(lasts, now);
+    *lease_slot = Some((lease, granted));
+    let crashes = core.crashes.reportable(retention, now);
     let ends = crashes.len();
     store.report_crashes(core.settings.name.clone(), crashes, lease).await?;
-    info!("ends of upstreams told", kv: { ends });
+    info!("crash report written", kv: { ends });
     Ok(())
 }
--- a/components/router/src/decisions.rs
+++ b/components/router/src/decisions.rs
@@ -1,28 +1,28 @@
-//! The latest decisions, for explaining.
+//! Recent routing decisions, kept for `/v1/explain`.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
 use routing::Decision;
 
-/// A bounded ring of decisions.
+/// A bounded ring buffer of decisions.
 #[derive(Debug)]
 pub(crate) struct Decisions {
-    most: usize,
+    capacity: usize,
     order: VecDeque<Arc<str>>,
     by_request: HashMap<Arc<str>, Arc<Decision>>,
 }
 
 impl Decisions {
-    pub(crate) fn new(most: usize) -> Self {
-        Self { most, order: VecDeque::new(), by_request: HashMap::new() }
+    pub(crate) fn new(capacity: usize) -> Self {
+        Self { capacity, order: VecDeque::new(), by_request: HashMap::new() }
     }
 
-    /// Keeps a decision; the oldest goes when there are too many.
-    pub(crate) fn keep(&mut self, decision: Arc<Decision>) {
+    /// Adds a decision; drops the oldest one if there are too many.
+    pub(crate) fn insert(&mut self, decision: Arc<Decision>) {
         self.order.push_back(decision.request.clone());
         self.by_request.insert(decision.request.clone(), decision);
-        if self.order.len() > self.most
+        if self.order.len() > self.capacity
             && let Some(oldest) = self.order.pop_front()
         {
             self.by_request.remove(&oldest);
--- a/components/router/src/direct.rs
+++ b/components/router/src/direct.rs
@@ -1,4 +1,4 @@
-//! One sending of a request straight to its upstream.
+//! An attempt that is sent straight to its upstream.
 
 use std::collections::VecDeque;
 use std::pin::Pin;
@@ -17,33 +17,31 @@
 use crate::headers;
 use crate::template::Template;
 
-/// The status of an upstream that is not the one that was meant.
+/// The status of a response from another upstream than the intended one.
 const MISDIRECTED: u16 = 421;
 
-/// How many bytes of an answer are kept back until it is whole, so that
-/// another upstream may still be asked. Longer answers are passed on as they
-/// come.
-const MAX_KEPT: usize = 64 * 1024;
+/// The most bytes of a response that are buffered until it is complete, so that another upstream
+/// can still be tried. Longer responses are forwarded as they arrive.
+const MAX_BUFFERED: usize = 64 * 1024;
 
-/// The end of an attempt without a last reply.
+/// The attempt ended without a final reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Lost {
+pub(crate) struct ConnectionFailure {
     /// Whether any byte of the request may have reached the upstream.
     pub sent: bool,
 }
 
-type Waiting = Pin<Box<dyn Future<Output = Result<Answer, Fault>>>>;
+type PendingAnswer = Pin<Box<dyn Future<Output = Result<Answer, Fault>>>>;
 
 enum Stage {
-    /// The head of the answer is waited for.
-    Head(Waiting),
-    /// The body comes.
+    /// Waiting for the head of the response.
+    Head(PendingAnswer),
+    /// Reading the body.
     Body(Answer),
-    /// Nothing more will come.
-    Over,
+    Done,
 }
 
-/// What has been passed on of an answer.
+/// How much of a response has been forwarded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Progress {
     pub chunks: u64,
@@ -52,30 +50,29 @@
     pub event: Option<u64>,
 }
 
-/// An attempt under way; dropping it closes its connection, which cancels the
-/// request at the upstream.
+/// An attempt in progress. Dropping it closes its connection, which cancels the request at the
+/// upstream.
 pub(crate) struct Call {
     core: Rc<Core>,
     request: Arc<str>,
     upstream: Arc<str>,
     attempt: u32,
     stage: Stage,
-    /// Replies that are ready, and what has been passed on once they are taken.
+    /// Replies ready to be taken, each with the progress after it.
     ready: VecDeque<(Reply, Progress)>,
-    /// The head, until there is something to pass on with it.
+    /// The head, held until there is a part of the body to forward.
     head: Option<Head>,
-    /// Bytes that are kept back until the answer is whole.
-    kept: BytesMut,
-    /// Set where the answer is a stream of events.
+    /// Bytes buffered until the response is complete.
+    buffer: BytesMut,
+    /// Set where the response is a stream of events.
     events: Option<Splitter>,
-    /// What has been passed on.
     progress: Progress,
-    /// The same, once all that is ready is taken.
-    queued: Progress,
+    /// The progress once all ready replies are taken.
+    queued_progress: Progress,
 }
 
 impl Call {
-    /// Sends the request of `template` as `attempt` says.
+    /// Sends the request of `template` as described by `attempt`.
     pub(crate) fn start(
         core: &Rc<Core>,
         request: &Arc<str>,
@@ -84,7 +81,7 @@
         workspace: Option<&str>,
         progress: Progress,
     ) -> Self {
-        let sending = Dispatch {
+        let dispatch = Dispatch {
             remaining: attempt.remaining,
             upstream: &attempt.upstream,
             workspace,
@@ -92,7 +89,7 @@
             copy_from: attempt.copy_from.as_deref(),
             last_event: progress.event.filter(|_| attempt.resume),
         };
-        let outgoing = outgoing(core, template, &sending);
+        let outgoing = outgoing(core, template, &dispatch);
         let (client, address) = (core.client().clone(), attempt.address.clone());
         let fresh = attempt.new_connection;
         let answer = Box::pin(async move { client.send(address, outgoing, fresh).await });
@@ -104,14 +101,14 @@
             stage: Stage::Head(answer),
             ready: VecDeque::new(),
             head: None,
-            kept: BytesMut::new(),
+            buffer: BytesMut::new(),
             events: template.events.then(|| Splitter::after(progress.event)),
             progress,
-            queued: progress,
+            queued_progress: progress,
         }
     }
 
-    /// What has been passed on so far.
+    /// What has been forwarded so far.
     pub(crate) fn progress(&self) -> Progress {
         self.progress
     }
@@ -121,7 +118,7 @@
     /// # Errors
     ///
     /// The attempt ended before its last reply.
-    pub(crate) async fn next(&mut self) -> Result<Reply, Lost> {
+    pub(crate) async fn next(&mut self) -> Result<Reply, ConnectionFailure> {
         loop {
             if let Some((reply, progress)) = self.ready.pop_front() {
                 self.progress = progress;
@@ -129,41 +126,41 @@
             }
             match &mut self.stage {
                 Stage::Head(answer) => match answer.await {
-                    Ok(answer) => self.open(answer)?,
-                    Err(fault) => {
-                        self.stage = Stage::Over;
-                        return Err(Lost { sent: fault.may_have_been_sent() });
+                    Ok(answer) => self.read_head(answer)?,
+                    Err(error) => {
+                        self.stage = Stage::Done;
+                        return Err(ConnectionFailure { sent: error.may_have_been_sent() });
                     }
                 },
                 Stage::Body(answer) => {
                     let part = answer.next().await;
-                    self.take(part)?;
+                    self.handle_part(part)?;
                 }
-                Stage::Over => return std::future::pending().await,
+                Stage::Done => return std::future::pending().await,
             }
         }
     }
 
-    /// Reads the head of the answer.
-    fn open(&mut self, mut answer: Answer) -> Result<(), Lost> {
-        self.stage = Stage::Over;
+    /// Reads the head of the response.
+    fn read_head(&mut self, mut answer: Answer) -> Result<(), ConnectionFailure> {
+        self.stage = Stage::Done;
         let status = answer.status;
         let headers = std::mem::take(&mut answer.headers);
-        let told = self.core.edges().dialect.parse_response(status, &headers);
-        if told.id.as_ref().is_some_and(|it| *it != self.request) {
-            return Err(Lost { sent: true });
+        let feedback = self.core.edges().dialect.parse_response(status, &headers);
+        if feedback.id.as_ref().is_some_and(|id| *id != self.request) {
+            return Err(ConnectionFailure { sent: true });
         }
-        // That of another upstream which has the address now says nothing of this one.
+        // The feedback of another upstream at this address must not be attributed to this one.
         if status != MISDIRECTED {
-            self.hear(&told);
+            self.apply_feedback(&feedback);
         }
-        if told.not_run {
-            self.queue(refused(status));
+        if feedback.not_run {
+            self.queue(refusal(status));
             return Ok(());
         }
         let success = (200..300).contains(&status);
-        if told.id.is_none() || (success && !told.signed) {
-            return Err(Lost { sent: true });
+        if feedback.id.is_none() || (success && !feedback.signed) {
+            return Err(ConnectionFailure { sent: true });
         }
         if !success {
             self.events = None;
@@ -174,112 +171,109 @@
         Ok(())
     }
 
-    /// Takes what the head of an answer says of its upstream.
-    fn hear(&self, told: &Feedback) {
-        if let Some(edge::Load { running, waiting, pace }) = told.load {
+    /// Applies the upstream's feedback from the head of a response.
+    fn apply_feedback(&self, feedback: &Feedback) {
+        if let Some(edge::Load { running, waiting, pace }) = feedback.load {
             let (upstream, requests) = (self.upstream.clone(), running.saturating_add(waiting));
             if let Some(percent) = pace {
                 self.core.apply(Event::Pace { upstream: upstream.clone(), percent });
             }
             self.core.apply(Event::Load { upstream, requests, waiting });
         }
-        if let Some(left) = told.cold {
+        if let Some(left) = feedback.cold {
             self.core.apply(Event::Cold { upstream: self.upstream.clone(), remaining: left });
         }
-        if let Some(lasts) = told.backoff {
+        if let Some(lasts) = feedback.backoff {
             self.core.apply(Event::Backoff { upstream: self.upstream.clone(), duration: lasts });
         }
-        if told.leaving {
+        if feedback.leaving {
             self.core.apply(Event::Leaving { upstream: self.upstream.clone() });
         }
     }
 
-    /// Takes a part of the body.
-    fn take(&mut self, part: Option<Result<Bytes, Fault>>) -> Result<(), Lost> {
+    fn handle_part(&mut self, part: Option<Result<Bytes, Fault>>) -> Result<(), ConnectionFailure> {
         match part {
-            Some(Ok(bytes)) => self.bytes(&bytes),
+            Some(Ok(bytes)) => self.handle_bytes(&bytes),
             Some(Err(_)) => {
-                self.stage = Stage::Over;
-                Err(Lost { sent: true })
+                self.stage = Stage::Done;
+                Err(ConnectionFailure { sent: true })
             }
-            None => self.end(),
+            None => self.finish(),
         }
     }
 
-    /// Takes bytes of the body: of a stream, whole events are passed on at once;
-    /// anything else is kept back up to [`MAX_KEPT`].
-    fn bytes(&mut self, bytes: &[u8]) -> Result<(), Lost> {
+    /// Handles bytes of the body: complete events of a stream are forwarded at once, anything else
+    /// is buffered up to [`MAX_BUFFERED`].
+    fn handle_bytes(&mut self, bytes: &[u8]) -> Result<(), ConnectionFailure> {
         if let Some(events) = &mut self.events {
-            let whole = events.push(bytes).map_err(|_| Lost { sent: true });
-            let whole = whole.inspect_err(|_| self.stage = Stage::Over)?;
+            let complete = events.push(bytes).map_err(|_| ConnectionFailure { sent: true });
+            let complete = complete.inspect_err(|_| self.stage = Stage::Done)?;
             let last = self.events.as_ref().and_then(Splitter::last);
-            self.pass(whole, last);
+            self.forward(complete, last);
             return Ok(());
         }
-        self.kept.extend_from_slice(bytes);
-        if self.head.is_none() || self.kept.len() > MAX_KEPT {
-            let kept = self.kept.split().freeze();
-            self.pass(kept, None);
+        self.buffer.extend_from_slice(bytes);
+        if self.head.is_none() || self.buffer.len() > MAX_BUFFERED {
+            let buffer = self.buffer.split().freeze();
+            self.forward(buffer, None);
         }
         Ok(())
     }
 
-    /// Makes a reply ready.
     fn queue(&mut self, reply: Reply) {
-        self.ready.push_back((reply, self.queued));
+        self.ready.push_back((reply, self.queued_progress));
     }
 
-    /// Passes bytes on, after the head; `event` is the number of the last event
-    /// in them.
-    fn pass(&mut self, bytes: Bytes, event: Option<u64>) {
+    /// Forwards bytes, preceded by the head; `event` is the number of the last event in them.
+    fn forward(&mut self, bytes: Bytes, event: Option<u64>) {
         if bytes.is_empty() {
             return;
         }
-        self.pass_head();
-        let chunk = Chunk { attempt: self.attempt, sequence: self.queued.chunks, bytes };
-        self.queued.chunks += 1;
-        self.queued.bytes += chunk.bytes.len() as u64;
-        self.queued.event = event.or(self.queued.event);
+        self.forward_head();
+        let chunk = Chunk { attempt: self.attempt, sequence: self.queued_progress.chunks, bytes };
+        self.queued_progress.chunks += 1;
+        self.queued_progress.bytes += chunk.bytes.len() as u64;
+        self.queued_progress.event = event.or(self.queued_progress.event);
         self.queue(Reply::Chunk(chunk));
     }
 
-    fn pass_head(&mut self) {
+    fn forward_head(&mut self) {
         if let Some(head) = self.head.take() {
             self.queue(Reply::Head(head));
         }
     }
 
-    /// Takes the regular end of the body.
-    fn end(&mut self) -> Result<(), Lost> {
-        self.stage = Stage::Over;
+    /// Handles the regular end of the body.
+    fn finish(&mut self) -> Result<(), ConnectionFailure> {
+        self.stage = Stage::Done;
         if self.events.as_ref().is_some_and(Splitter::is_partial) {
-            return Err(Lost { sent: true });
+            return Err(ConnectionFailure { sent: true });
         }
-        let kept = self.kept.split().freeze();
-        self.pass(kept, None);
-        self.pass_head();
+        let buffer = self.buffer.split().freeze();
+        self.forward(buffer, None);
+        self.forward_head();
         self.queue(Reply::End(End {
             attempt: self.attempt,
-            chunks: self.queued.chunks,
-            bytes: self.queued.bytes,
+            chunks: self.queued_progress.chunks,
+            bytes: self.queued_progress.bytes,
             status: Status::default(),
         }));
         Ok(())
     }
 }
 
-/// The request of `template` as it goes to the upstream.
-fn outgoing(core: &Core, template: &Template, sending: &Dispatch<'_>) -> outbound::Request {
+/// The request of `template` in the form that the upstream expects.
+fn outgoing(core: &Core, template: &Template, dispatch: &Dispatch<'_>) -> outbound::Request {
     outbound::Request {
         method: template.method.clone(),
         path: template.path.clone(),
-        headers: core.edges().dialect.forward(&template.headers, sending),
+        headers: core.edges().dialect.forward(&template.headers, dispatch),
         body: template.body.clone(),
     }
 }
 
-/// The upstream says that it did not run the request.
-fn refused(status: u16) -> Reply {
+/// The refusal of an upstream that did not run the request.
+fn refusal(status: u16) -> Reply {
     let kind = if status == MISDIRECTED { Kind::Leaving } else { Kind::QueueFull };
     let (hints, status) = (Vec::new(), Status::default());
     Reply::Refused(Refused { kind, retry_after_ms: 0, hints, status })
--- a/components/router/src/error.rs
+++ b/components/router/src/error.rs
@@ -1,37 +1,37 @@
-//! Why a router can't start.
+//! Errors at startup.
 
 use snafu::Snafu;
 
-/// A fault at start.
+/// Why a router could not start.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// An address can't be listened on.
+    /// Listening on an address failed.
     #[snafu(display("{source}"))]
     Bind {
-        /// The address and what the system says.
+        /// The address and the system's error.
         source: process::Error,
     },
-    /// A socket can't be used.
+    /// A socket could not be used.
     #[snafu(display("a socket can't be used: {source}"))]
     Socket {
-        /// What the system says.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// The file of the routing intents can't be read.
+    /// The intents file could not be read.
     #[snafu(display("can't read the intents in {path}: {source}"))]
     Read {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What the system says.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// The routing intents are wrong.
+    /// The routing intents are invalid.
     #[snafu(display("the intents in {path} are wrong: {source}"))]
     Intents {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong.
+        /// The first error found.
         source: intents::Error,
     },
 }
--- a/components/router/src/feed.rs
+++ b/components/router/src/feed.rs
@@ -1,12 +1,12 @@
-//! Following the platform's store: the configuration and the upstreams.
+//! Keeps the configuration and the upstreams in sync with the platform's store.
 //!
-//! A few routers of each failure domain look at the store at a fixed pace; the others ask these
-//! what has changed. Each answer brings what has changed since the last one, and proves that the
-//! configuration in force was the newest when the look began that it goes back to.
+//! A few pollers in each failure domain poll the store at a fixed interval; the other routers query
+//! these. Each answer contains the changes since the last one, and confirms that the configuration
+//! in force was the newest when the poll behind it began.
 
 mod facts;
-mod others;
-mod start;
+mod query;
+mod startup;
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -19,68 +19,66 @@
 use spdlog::{info, warn};
 
 use crate::core::Core;
-use crate::extent::Extent;
-use crate::memory::Memory;
+use crate::persistence::Saver;
+use crate::watch_scope::WatchScope;
 
-/// How many routers there are taken to be at least: when all start at once, the
-/// first looks see few of them. The sites have four, and seven with all spares.
+/// Lower bound of the assumed fleet size, since the first polls after a fleet start see few
+/// routers.
 const ASSUMED_ROUTERS: usize = 8;
 
-/// How long a look waits for a change, so that it is answered soon in any case.
-const WAIT: Millis = Millis(250);
+/// How long a poll waits for a change.
+const MAX_POLL_WAIT: Millis = Millis(250);
 
-/// The longest pause between two looks of a router from which others hear: what it learns
-/// reaches them later by a hop.
-const FOLLOWER_PAUSE: Millis = Millis(800);
+/// The longest pause between two polls of a router with subscribers, which learn of changes one hop
+/// later.
+const MAX_POLLER_PAUSE: Millis = Millis(800);
 
-/// How long looks may fail until everything is read anew in place of all that has
-/// changed meanwhile: every configuration of that time, whole.
-const OUTAGE: Millis = Millis(2_000);
+/// Outages longer than this are followed by a full read instead of the history.
+const LONG_OUTAGE: Millis = Millis(2_000);
 
-/// How much the store holds, in bytes, from which on looks ask for less after an outage: four
-/// configurations of that length are a long history, and a dozen may have waited.
-const MUCH: usize = 128 * 1024;
+/// Size of a full read, in bytes, from which on polls have a reduced scope after an outage.
+const LARGE_READ_BYTES: usize = 128 * 1024;
 
-/// The shortest suspension of the host of which the log tells; the two clocks that are compared
-/// are read one after the other.
-const NOTICED: Millis = Millis(250);
+/// Shorter suspensions of the host are not logged; the two compared clocks are not read at the same
+/// instant.
+const MIN_LOGGED_SUSPENSION: Millis = Millis(250);
 
-/// The pause after a call that failed; the store's outages end without notice.
-pub(crate) const PAUSE: Millis = Millis(300);
+/// The pause after a failed call to the store.
+pub(crate) const RETRY_INTERVAL: Millis = Millis(300);
 
-/// Follows the store until the process stops.
-pub(crate) async fn follow(core: Rc<Core>, look: Millis, memory: Memory) {
-    let lasts = core.settings.direct.as_ref().map_or(look, |it| Millis(it.news_ms));
+/// Follows the store until shutdown.
+pub(crate) async fn run(core: Rc<Core>, interval: Millis, saver: Saver) {
+    let validity = core.settings.direct.as_ref().map_or(interval, |direct| Millis(direct.news_ms));
     let mut feed = Feed {
         core,
-        freshness: Freshness::new(lasts),
+        freshness: Freshness::new(validity),
         listing: Listing::default(),
         routers: BTreeSet::new(),
         source: None,
         evacuated: BTreeSet::new(),
-        known_evacuated: BTreeSet::new(),
-        most_routers: ASSUMED_ROUTERS,
+        applied_evacuated: BTreeSet::new(),
+        max_routers: ASSUMED_ROUTERS,
         revision: None,
-        reads_anew: false,
+        full_read_due: false,
         era: Era::default(),
-        stored: 0,
-        doubted_until: None,
-        lost: None,
-        started: false,
-        extent: Extent::default(),
-        memory,
+        stored_generation: 0,
+        incomplete_until: None,
+        failing_since: None,
+        has_read: false,
+        scope: WatchScope::default(),
+        saver,
         unreadable: BTreeSet::new(),
     };
     feed.core.apply(Event::RouterCount(ASSUMED_ROUTERS));
-    feed.meet_fleet().await;
+    feed.choose_role().await;
     let mut sleep = Sleep::new(feed.core.clock);
     loop {
-        let slept = sleep.passed();
-        if slept >= NOTICED {
+        let suspended = sleep.passed();
+        if suspended >= MIN_LOGGED_SUSPENSION {
             feed.core.metrics.belief("host_suspended");
-            warn!("the host was suspended", kv: { ms = slept.0 });
+            warn!("the host was suspended", kv: { ms = suspended.0 });
         }
-        let pause = feed.step(look).await;
+        let pause = feed.step(interval).await;
         tokio::time::sleep(pause.duration()).await;
     }
 }
@@ -89,193 +87,192 @@
     core: Rc<Core>,
     freshness: Freshness,
     listing: Listing,
-    /// The routers that there are, as they were told to the reducer last.
+    /// The known routers, as last passed to the reducer.
     routers: BTreeSet<Arc<str>>,
-    /// The router from which this one has heard last; `None` if it looks at the store.
+    /// The router that served this one last; `None` for the store.
     source: Option<Arc<str>>,
-    /// The failure domains that are to take nothing.
+    /// The evacuated failure domains.
     evacuated: BTreeSet<Arc<str>>,
-    /// The same, as they were told to the reducer last.
-    known_evacuated: BTreeSet<Arc<str>>,
-    /// The most routers that were counted.
-    most_routers: usize,
-    /// The revision up to which all changes were taken.
+    /// The evacuated failure domains, as last passed to the reducer.
+    applied_evacuated: BTreeSet<Arc<str>>,
+    /// The largest number of routers counted so far.
+    max_routers: usize,
+    /// The revision up to which all changes are applied.
     revision: Option<Revision>,
-    /// Whether the next look at the store reads everything in place of its history.
-    reads_anew: bool,
-    /// The era of the store in which it was told.
+    /// Whether the next poll reads everything instead of the history.
+    full_read_due: bool,
+    /// The era of the store at the last answer.
     era: Era,
-    /// The generation of the configuration that the store holds; it may be lower than the one in
-    /// force where the store came back from an older copy.
-    stored: u64,
-    /// Until when the store may lack what was written before it came back from an older copy;
-    /// everything is read once more then.
-    doubted_until: Option<Millis>,
-    /// Since when looks have failed; `None` if the last one did not.
-    lost: Option<Millis>,
+    /// The generation of the configuration in the store. It may be lower than the one in force
+    /// after the store was restored from an older copy.
+    stored_generation: u64,
+    /// Until when a restored store may lack recent writes; a full read follows.
+    incomplete_until: Option<Millis>,
+    /// Start of the current series of failed polls.
+    failing_since: Option<Millis>,
     /// Whether anything has been read.
-    started: bool,
-    extent: Extent,
-    memory: Memory,
-    /// The entries of upstreams that can't be read and were told of in the log.
+    has_read: bool,
+    scope: WatchScope,
+    saver: Saver,
+    /// Unreadable upstream entries that were already logged.
     unreadable: BTreeSet<Arc<str>>,
 }
 
 impl Feed {
-    /// Looks once where it is best now; returns how long to wait until the next time.
-    async fn step(&mut self, look: Millis) -> Millis {
+    /// Polls the store or queries another router once; returns the pause until the next time.
+    async fn step(&mut self, interval: Millis) -> Millis {
         let now = self.core.clock.now();
         self.expire(now);
-        self.meet_routers();
-        let shares = self.core.settings.routing.mechanisms.shared_looks;
-        if shares && !self.core.stop.is_asked() && self.core.fleet().decide(now) {
-            self.tell_follows();
+        self.update_routers();
+        let is_shared = self.core.settings.routing.mechanisms.shared_looks;
+        if is_shared && !self.core.stop.is_asked() && self.core.fleet().update_role(now) {
+            self.log_poller_role();
         }
-        match self.core.fleet().next(now) {
-            Source::Store => self.look_and_prove(look, now).await,
-            Source::Router(peer) => self.ask(&peer, now).await,
+        match self.core.fleet().next_source(now) {
+            Source::Store => self.poll_and_confirm(interval, now).await,
+            Source::Router(peer) => self.query(&peer, now).await,
             Source::Pause(pause) => pause,
         }
     }
 
-    /// Logs and counts whether this router follows the store.
-    fn tell_follows(&self) {
-        let follows = self.core.fleet().follows();
+    /// Logs and counts whether this router polls the store.
+    fn log_poller_role(&self) {
+        let follows = self.core.fleet().is_poller();
         self.core.metrics.belief(if follows { "follows_store" } else { "stands_down" });
-        info!("whether this router follows the store has changed", kv: { follows });
+        info!("store polling started or stopped", kv: { follows });
     }
 
-    /// Looks at the store once.
-    async fn look_and_prove(&mut self, look: Millis, started: Millis) -> Millis {
-        match self.look().await {
+    /// Polls the store once, and confirms the configuration if the answer does.
+    async fn poll_and_confirm(&mut self, interval: Millis, started_at: Millis) -> Millis {
+        match self.poll().await {
             Ok(()) => {
-                self.hears_from(None, Some(Millis::ZERO));
-                if self.core.fleet().store_answered(self.core.clock.now()) {
-                    self.tell_follows();
+                self.set_source(None, Some(Millis::ZERO));
+                if self.core.fleet().record_store_success(self.core.clock.now()) {
+                    self.log_poller_role();
                 }
-                if self.proves() {
-                    self.core.apply(Event::ConfigurationConfirmed { at: started });
+                if self.confirms() {
+                    self.core.apply(Event::ConfigurationConfirmed { at: started_at });
                 }
-                self.core.fleet().tell_news();
-                self.pause(look.min(FOLLOWER_PAUSE))
+                self.core.fleet().notify();
+                self.next_pause(interval.min(MAX_POLLER_PAUSE))
             }
-            Err(fault) => {
-                self.failed(&fault);
-                // What has no history is there.
-                if fault != Error::HistoryGone {
-                    self.core.fleet().store_failed(PAUSE, self.core.clock.now());
+            Err(error) => {
+                self.record_failure(&error);
+                // A store without history is still reachable.
+                if error != Error::HistoryGone {
+                    self.core.fleet().record_store_failure(RETRY_INTERVAL, self.core.clock.now());
                 }
                 Millis::ZERO
             }
         }
     }
 
-    /// Looks at the store once, and takes what it says.
-    async fn look(&mut self) -> Result<(), Error> {
+    /// Polls the store once and applies the answer.
+    async fn poll(&mut self) -> Result<(), Error> {
         let store = self.core.edges().store.clone();
-        let revision = self.revision.filter(|_| !self.reads_anew);
-        let whole = revision.is_none();
+        let revision = self.revision.filter(|_| !self.full_read_due);
+        let full = revision.is_none();
         let batch = match revision {
             Some(revision) => self.changes(&*store, revision).await?,
             None => store.read().await?,
         };
-        let returns = self.lost.take().is_some();
-        if returns {
+        let recovers = self.failing_since.take().is_some();
+        if recovers {
             info!("the store answers again", kv: { revision = batch.revision.number });
-            let returned = self.returned();
-            self.listing.begin_recovery(returned);
+            let grace_start = self.grace_start();
+            self.listing.begin_recovery(grace_start);
         }
-        self.reads_anew = false;
-        // What was not written in the outage comes now, all of it at once.
-        if returns && whole && batch.bytes >= MUCH {
-            self.extent.narrow(self.core.clock.now());
+        self.full_read_due = false;
+        // Writes that were delayed by the outage arrive together now.
+        if recovers && full && batch.bytes >= LARGE_READ_BYTES {
+            self.scope.reduce(self.core.clock.now());
         }
-        self.absorb(batch, whole);
-        self.reads_anew = self.extent.ends(self.core.clock.now());
-        if self.ends_doubt() {
+        self.apply_answer(batch, full);
+        self.full_read_due = self.scope.restore_if_due(self.core.clock.now());
+        if self.end_incomplete() {
             self.revision = None;
         }
         Ok(())
     }
 
-    /// What has changed since `revision`. A history that is long is not read, and holds nothing
-    /// up: it is asked for less at once.
+    /// The changes since `revision`. If the history is too long to be read, asks for a part of it
+    /// at once.
     async fn changes(&mut self, store: &dyn Store, revision: Revision) -> Result<Batch, Error> {
-        if !self.extent.is_narrow() {
-            match store.watch(revision, WAIT).await {
-                Err(Error::LongHistory) => self.extent.narrow(self.core.clock.now()),
+        if !self.scope.is_reduced() {
+            match store.watch(revision, MAX_POLL_WAIT).await {
+                Err(Error::LongHistory) => self.scope.reduce(self.core.clock.now()),
                 other => return other,
             }
         }
-        store.catch_up(revision, WAIT).await
+        store.catch_up(revision, MAX_POLL_WAIT).await
     }
 
-    /// Takes what the store or another router told.
-    fn absorb(&mut self, batch: Batch, whole: bool) {
+    /// Applies an answer of the store or of another router.
+    fn apply_answer(&mut self, batch: Batch, full: bool) {
         let era = std::mem::replace(&mut self.era, batch.revision.era);
-        if self.started && era != self.era {
-            self.come_back_older(batch.revision);
+        if self.has_read && era != self.era {
+            self.handle_restored_store(batch.revision);
         }
-        let (returns, doubted) = (self.listing.is_recovering(), self.doubted_until.is_some());
+        let (recovers, incomplete) =
+            (self.listing.is_recovering(), self.incomplete_until.is_some());
         let now = self.core.clock.now();
-        self.core.fleet().learn(&batch, whole, returns, doubted, now);
-        self.take(batch, whole);
+        self.core.fleet().record(&batch, full, recovers, incomplete, now);
+        self.apply_batch(batch, full);
         self.listing.finish_recovery();
     }
 
-    /// The store came back from an older copy. What it lacks others write again; this router does
-    /// so with what it had written.
-    fn come_back_older(&mut self, revision: Revision) {
+    /// Handles a store that was restored from an older copy: writes this router's own entries again
+    /// and waits for others to do so.
+    fn handle_restored_store(&mut self, revision: Revision) {
         let (era, revision) = (revision.era.0, revision.number);
         warn!("the store came back from an older copy", kv: { era, revision });
         self.core.metrics.belief("store_older");
         let now = self.core.clock.now();
         self.listing.begin_restored_recovery(now);
-        self.doubted_until = Some(now + MISSING_TTL);
-        self.core.crashes.tell_again();
-        self.memory.write_again();
-        self.core.store_is_older.notify_one();
+        self.incomplete_until = Some(now + MISSING_TTL);
+        self.core.crashes.report_again();
+        self.saver.invalidate();
+        self.core.store_restored.notify_one();
     }
 
-    /// Whether what the store holds now shows that the configuration in force is the newest: not
-    /// while the operator may have to write a later one again.
-    fn proves(&self) -> bool {
-        let in_force = self.core.plan().map_or(0, |it| it.generation());
-        self.stored >= in_force && self.doubted_until.is_none()
+    /// Whether the store's content confirms that the configuration in force is the newest. A
+    /// restored store does not, until the operator has had time to write a later one again.
+    fn confirms(&self) -> bool {
+        let in_force = self.core.plan().map_or(0, |plan| plan.generation());
+        self.stored_generation >= in_force && self.incomplete_until.is_none()
     }
 
-    /// The time is over in which others write again what the store had lost. Returns whether that
-    /// is so just now.
-    fn ends_doubt(&mut self) -> bool {
+    /// Whether the time for rewriting lost entries of a restored store has just ended.
+    fn end_incomplete(&mut self) -> bool {
         let now = self.core.clock.now();
-        self.doubted_until.take_if(|it| *it <= now).is_some()
+        self.incomplete_until.take_if(|until| *until <= now).is_some()
     }
 
-    /// How long to wait until the next look: `look`, half of it after a long answer,
-    /// or less if an entry's time to come back is over before.
-    fn pause(&self, look: Millis) -> Millis {
+    /// The pause until the next poll: `interval`, half of it while the scope is reduced, or less if
+    /// an entry's grace period ends earlier.
+    fn next_pause(&self, interval: Millis) -> Millis {
         let now = self.core.clock.now();
-        // A look that takes long, or fails once, leaves less time for the next one.
-        let look = if self.extent.is_narrow() { Millis(look.0 / 2) } else { look };
-        let next = self.listing.next_expiry().into_iter().chain(self.doubted_until).min();
-        next.map_or(look, |at| now.until(at).min(look))
+        // A slow or failed poll leaves less time for the next one.
+        let interval = if self.scope.is_reduced() { Millis(interval.0 / 2) } else { interval };
+        let next = self.listing.next_expiry().into_iter().chain(self.incomplete_until).min();
+        next.map_or(interval, |at| now.until(at).min(interval))
     }
 
-    /// A look failed. After a long outage, or where the store has no history,
-    /// everything is read anew.
-    fn failed(&mut self, fault: &Error) {
-        if *fault == Error::HistoryGone {
+    /// Handles a failed poll. After a long outage, or if the store has no history, the next poll
+    /// reads everything.
+    fn record_failure(&mut self, error: &Error) {
+        if *error == Error::HistoryGone {
             info!("the store's history is gone; everything is read anew");
-            self.reads_anew = true;
+            self.full_read_due = true;
             return;
         }
         let now = self.core.clock.now();
-        match self.lost {
+        match self.failing_since {
             None => {
-                warn!("the store does not answer", kv: { reason = fault.to_string() });
-                self.lost = Some(now);
+                warn!("the store does not answer", kv: { reason = error.to_string() });
+                self.failing_since = Some(now);
             }
-            Some(since) if since.until(now) >= OUTAGE => self.reads_anew = true,
+            Some(since) if since.until(now) >= LONG_OUTAGE => self.full_read_due = true,
             Some(_) => {}
         }
     }
--- a/components/router/src/feed/facts.rs
+++ b/components/router/src/feed/facts.rs
@@ -1,4 +1,4 @@
-//! Taking what the store or another router told.
+//! Applies answers of the store or of another router.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,75 +11,75 @@
 use spdlog::{info, warn};
 
 use super::Feed;
-use crate::memory;
+use crate::persistence;
 
-/// The most entries of upstreams that can't be read of which the log tells.
-const MOST_UNREADABLE: usize = 256;
+/// The most unreadable upstream entries that are logged.
+const MAX_LOGGED_UNREADABLE: usize = 256;
 
-/// What a batch says that is acted on once it is read to its end.
+/// The parts of a batch that are applied after all of it is read.
 #[derive(Default)]
-struct Summary {
-    /// Whether the upstreams have changed.
+struct Deferred {
     changed: bool,
-    /// Upstreams that say they are cold, and for how much longer.
+    /// Cold upstreams, and for how much longer they are cold.
     cold: Vec<(Arc<str>, Millis)>,
-    /// The upstreams that it names, by their entries.
-    names: Vec<Arc<str>>,
-    /// The routers that it names.
+    /// Entries of the listed upstreams.
+    entries: Vec<Arc<str>>,
+    /// Names of the listed routers.
     routers: BTreeSet<Arc<str>>,
-    /// The configuration of the highest generation; only that one is compiled.
+    /// The configuration of the highest generation; only this one is compiled.
     newest: Option<Box<Document>>,
-    /// What was remembered of the upstreams.
-    remembered: Vec<Host>,
-    /// What was remembered of warm parts.
-    parts: Bytes,
+    /// Upstreams saved by an earlier poller.
+    saved_hosts: Vec<Host>,
+    /// Warm prefixes saved by an earlier poller.
+    saved_prefixes: Bytes,
 }
 
 impl Feed {
-    /// Takes a batch; `whole` says that it holds all there is, not only changes.
-    pub(super) fn take(&mut self, batch: Batch, whole: bool) {
+    /// Applies a batch; `full` if it is a full read and not only changes.
+    pub(super) fn apply_batch(&mut self, batch: Batch, full: bool) {
         let now = self.core.clock.now();
-        let mut summary = Summary::default();
+        let mut deferred = Deferred::default();
         for fact in batch.facts {
-            self.note(fact, &mut summary);
+            self.apply_fact(fact, &mut deferred);
         }
-        if whole {
-            self.core.fleet().roster().retain(&summary.routers);
+        if full {
+            self.core.fleet().roster().retain(&deferred.routers);
         }
-        self.meet_routers();
-        let stored = summary.newest.as_ref().map(|it| it.generation);
-        self.stored = stored.unwrap_or(if whole { 0 } else { self.stored });
-        if let Some(document) = summary.newest {
+        self.update_routers();
+        let stored_generation = deferred.newest.as_ref().map(|document| document.generation);
+        self.stored_generation =
+            stored_generation.unwrap_or(if full { 0 } else { self.stored_generation });
+        if let Some(document) = deferred.newest {
             self.configure(*document, batch.revision.number);
         }
-        if whole {
-            summary.changed |= self.listing.keep_only(&summary.names);
+        if full {
+            deferred.changed |= self.listing.keep_only(&deferred.entries);
         }
-        let starts = !std::mem::replace(&mut self.started, true);
+        let is_first = !std::mem::replace(&mut self.has_read, true);
         let mechanisms = self.core.settings.routing.mechanisms;
-        if starts && mechanisms.upstreams {
-            summary.changed |= self.recall(summary.remembered, now);
+        if is_first && mechanisms.upstreams {
+            deferred.changed |= self.restore_hosts(deferred.saved_hosts, now);
         }
-        summary.changed |= self.listing.expire(now);
-        if summary.changed {
-            self.publish(batch.revision.number);
+        deferred.changed |= self.listing.expire(now);
+        if deferred.changed {
+            self.publish_hosts(batch.revision.number);
         }
-        self.evacuate(batch.revision.number);
-        self.chill(summary.cold);
-        if starts && mechanisms.parts {
-            self.recall_parts(&summary.parts);
+        self.update_evacuated(batch.revision.number);
+        self.mark_cold(deferred.cold);
+        if is_first && mechanisms.parts {
+            self.restore_prefixes(&deferred.saved_prefixes);
         }
         self.revision = Some(batch.revision);
         // One router writes for the whole fleet.
-        let writes = self.core.fleet().writes();
-        self.memory.set_writer(writes);
-        if writes {
-            self.memory.remember(&self.listing);
+        let is_writer = self.core.fleet().is_writer();
+        self.saver.set_writer(is_writer);
+        if is_writer {
+            self.saver.save(&self.listing);
         }
     }
 
-    /// At the start, upstreams that were remembered and are not listed.
-    fn recall(&mut self, hosts: Vec<Host>, now: Millis) -> bool {
+    /// Restores saved upstreams that are not listed at startup; returns whether there are any.
+    fn restore_hosts(&mut self, hosts: Vec<Host>, now: Millis) -> bool {
         let remembered = hosts.len();
         let missing = self.listing.restore(hosts, now);
         if missing {
@@ -88,43 +88,43 @@
         missing
     }
 
-    /// At the start, where parts were warm when that was last written down.
-    fn recall_parts(&self, remembered: &[u8]) {
-        let warm = memory::decode(remembered);
-        let parts: usize = warm.iter().map(|it| it.prefixes.len()).sum();
+    /// Restores saved warm prefixes at startup.
+    fn restore_prefixes(&self, saved: &[u8]) {
+        let warm = persistence::decode(saved);
+        let parts: usize = warm.iter().map(|warm| warm.prefixes.len()).sum();
         if parts > 0 {
-            info!("warm parts recalled", kv: { upstreams = warm.len(), parts });
+            info!("warm prefixes restored", kv: { upstreams = warm.len(), parts });
         }
         for warm in warm {
             self.core.apply(Event::WarmPrefixes(warm));
         }
     }
 
-    /// Takes one fact of a batch; what waits for the end of it goes to `summary`.
-    fn note(&mut self, fact: Fact, summary: &mut Summary) {
+    /// Applies one fact of a batch, or adds it to `deferred` for the end of the batch.
+    fn apply_fact(&mut self, fact: Fact, deferred: &mut Deferred) {
         match fact {
             Fact::Upstream { host, sequence, cold } => {
-                summary.names.push(host.entry().clone());
+                deferred.entries.push(host.entry().clone());
                 self.unreadable.remove(host.entry());
                 if cold > Millis::ZERO {
-                    summary.cold.push((host.name.clone(), cold));
+                    deferred.cold.push((host.name.clone(), cold));
                 }
-                summary.changed |= self.listing.put(host, sequence);
+                deferred.changed |= self.listing.put(host, sequence);
             }
             Fact::UpstreamRemoved(entry) => {
                 self.unreadable.remove(&entry);
-                summary.changed |= self.listing.remove(&entry);
+                deferred.changed |= self.listing.remove(&entry);
             }
             Fact::UnreadableUpstream { entry, reason } => {
-                self.leave_unreadable(&entry, &reason, summary);
+                self.drop_unreadable(&entry, &reason, deferred);
             }
-            Fact::UpstreamMissing(entry) => self.listing.mark_missing(&entry, self.returned()),
+            Fact::UpstreamMissing(entry) => self.listing.mark_missing(&entry, self.grace_start()),
             Fact::Router(announcement) => {
-                summary.routers.insert(announcement.router.name.clone());
+                deferred.routers.insert(announcement.router.name.clone());
                 self.core.fleet().roster().insert(announcement);
             }
             Fact::RouterRemoved(name) => {
-                summary.routers.remove(&name);
+                deferred.routers.remove(&name);
                 self.core.fleet().roster().remove(&name);
             }
             Fact::Evacuated(domain) => {
@@ -133,26 +133,26 @@
             Fact::Restored(domain) => {
                 self.evacuated.remove(&domain);
             }
-            // The operator may have to write again that a domain is to take nothing.
-            Fact::AllRestored if self.doubted_until.is_some() => {}
+            // The operator may still have to write the evacuation again.
+            Fact::AllRestored if self.incomplete_until.is_some() => {}
             Fact::AllRestored => self.evacuated.clear(),
             Fact::Configuration(document) => {
-                let known = summary.newest.as_ref().map_or(0, |it| it.generation);
+                let known = deferred.newest.as_ref().map_or(0, |document| document.generation);
                 if document.generation > known {
-                    summary.newest = Some(document);
+                    deferred.newest = Some(document);
                 }
             }
-            Fact::SavedHosts(hosts) => summary.remembered = hosts,
-            Fact::SavedPrefixes(parts) => summary.parts = parts,
+            Fact::SavedHosts(hosts) => deferred.saved_hosts = hosts,
+            Fact::SavedPrefixes(parts) => deferred.saved_prefixes = parts,
             Fact::Crashes { router, crashes } => {
                 if router == self.core.settings.name {
-                    self.core.crashes.recall(&crashes);
+                    self.core.crashes.restore(&crashes);
                 }
                 self.core.apply(Event::Crashes(crashes));
             }
             Fact::CrashesRemoved(router) => {
                 if router == self.core.settings.name {
-                    self.core.crashes.tell_again();
+                    self.core.crashes.report_again();
                 }
             }
             Fact::Unreadable { key, reason } => {
@@ -161,102 +161,104 @@
         }
     }
 
-    /// Another writer's entry names no upstream to use; one line tells of it until it can be
-    /// read again or goes.
-    fn leave_unreadable(&mut self, entry: &Arc<str>, reason: &str, summary: &mut Summary) {
-        summary.changed |= self.listing.drop_unreadable(entry);
-        if self.unreadable.len() < MOST_UNREADABLE && self.unreadable.insert(entry.clone()) {
+    /// Removes an upstream whose entry can't be read. Logs the entry once until it becomes readable
+    /// or goes.
+    fn drop_unreadable(&mut self, entry: &Arc<str>, reason: &str, deferred: &mut Deferred) {
+        deferred.changed |= self.listing.drop_unreadable(entry);
+        if self.unreadable.len() < MAX_LOGGED_UNREADABLE && self.unreadable.insert(entry.clone()) {
             self.core.metrics.belief("entry_unreadable");
             warn!("an entry can't be read", kv: { key = &**entry, reason });
         }
     }
 
-    /// Lets go of upstreams whose time to come back is over.
+    /// Drops upstreams whose grace period has ended.
     pub(super) fn expire(&mut self, now: Millis) {
         if let Some(revision) = self.revision
             && self.listing.expire(now)
         {
-            self.publish(revision.number);
+            self.publish_hosts(revision.number);
         }
     }
 
-    /// Since when upstreams have had time to come back whose entries are missing now.
-    pub(super) fn returned(&self) -> Millis {
-        let proof = self.core.proof_ms().map(Millis);
-        self.freshness.grace_start(proof, self.core.clock.now())
+    /// The start of the current grace period, in which missing upstreams may return.
+    pub(super) fn grace_start(&self) -> Millis {
+        let confirmation_age = self.core.confirmation_age_ms().map(Millis);
+        self.freshness.grace_start(confirmation_age, self.core.clock.now())
     }
 
-    /// Hands the upstreams to the reducer.
-    fn publish(&self, revision: u64) {
+    /// Passes the upstreams to the reducer.
+    fn publish_hosts(&self, revision: u64) {
         let hosts = self.listing.hosts();
         info!("upstreams changed", kv: {
             upstreams = hosts.len(),
-            leaving = hosts.iter().filter(|it| it.leaving).count(),
+            leaving = hosts.iter().filter(|host| host.leaving).count(),
             revision,
         });
         self.core.apply(Event::Hosts(hosts));
     }
 
-    /// Tells the reducer which failure domains are to take nothing.
-    fn evacuate(&mut self, revision: u64) {
-        if self.evacuated == self.known_evacuated {
+    /// Passes changed evacuations of failure domains to the reducer.
+    fn update_evacuated(&mut self, revision: u64) {
+        if self.evacuated == self.applied_evacuated {
             return;
         }
-        for domain in self.evacuated.difference(&self.known_evacuated) {
+        for domain in self.evacuated.difference(&self.applied_evacuated) {
             self.core.metrics.belief("domain_left");
-            info!("failure domain left", kv: { domain = &**domain, revision });
+            info!("failure domain evacuated", kv: { domain = &**domain, revision });
         }
-        for domain in self.known_evacuated.difference(&self.evacuated) {
+        for domain in self.applied_evacuated.difference(&self.evacuated) {
             self.core.metrics.belief("domain_taken_back");
-            info!("failure domain taken back", kv: { domain = &**domain, revision });
+            info!("failure domain restored", kv: { domain = &**domain, revision });
         }
-        self.known_evacuated.clone_from(&self.evacuated);
+        self.applied_evacuated.clone_from(&self.evacuated);
         self.core.apply(Event::Evacuated(self.evacuated.clone()));
     }
 
-    /// Tells the reducer which upstreams are cold.
-    fn chill(&self, cold: Vec<(Arc<str>, Millis)>) {
-        for (upstream, left) in cold {
+    /// Passes cold upstreams to the reducer.
+    fn mark_cold(&self, cold: Vec<(Arc<str>, Millis)>) {
+        for (upstream, remaining) in cold {
             self.core.metrics.belief("upstream_cold");
-            info!("upstream is cold", kv: { upstream = &*upstream, ms = left.0 });
-            self.core.apply(Event::Cold { upstream, remaining: left });
+            info!("upstream is cold", kv: { upstream = &*upstream, ms = remaining.0 });
+            self.core.apply(Event::Cold { upstream, remaining });
         }
     }
 
-    /// Takes which routers there are, where that has changed: for hints, for what cold upstreams
-    /// bear, and for the retry budget.
-    pub(super) fn meet_routers(&mut self) {
+    /// Passes a changed set of routers to the hints, the quotas of cold upstreams and the retry
+    /// budget.
+    pub(super) fn update_routers(&mut self) {
         let known = self.core.fleet().routers(self.core.clock.now());
-        self.count_routers();
-        if known.len() == self.routers.len() && known.keys().all(|it| self.routers.contains(it)) {
+        self.update_router_count();
+        if known.len() == self.routers.len() && known.keys().all(|name| self.routers.contains(name))
+        {
             return;
         }
         if let Some(peers) = self.core.peers() {
-            peers.meet(&known);
+            peers.set_routers(&known);
         }
         self.routers = known.into_keys().collect();
         let own = self.core.settings.name.clone();
         self.core.apply(Event::Members { own, announced: self.routers.clone() });
     }
 
-    /// Tells the reducer among how many routers the retry budget is divided. Announcements lapse
-    /// in an outage of the store while their routers live, and those that hear from a router that
-    /// ends are named by nobody for a moment: the count goes down only with a restart of all.
-    fn count_routers(&mut self) {
-        let routers = self.core.fleet().most();
-        if routers <= self.most_routers {
+    /// Passes the number of routers that share the retry budget to the reducer. The number never
+    /// decreases at runtime: announcements expire in an outage of the store while their routers
+    /// still run, and subscribers of a stopped poller are missing from all announcements for a
+    /// moment.
+    fn update_router_count(&mut self) {
+        let routers = self.core.fleet().max_routers();
+        if routers <= self.max_routers {
             return;
         }
-        self.most_routers = routers;
+        self.max_routers = routers;
         info!("routers counted", kv: { routers });
         self.core.apply(Event::RouterCount(routers));
     }
 
-    /// Compiles a configuration and hands it to the reducer.
+    /// Compiles a configuration and passes it to the reducer.
     fn configure(&self, document: Document, revision: u64) {
         let generation = document.generation;
-        // An earlier one is never put in force; the one in force comes with each whole list.
-        if self.core.plan().is_some_and(|it| it.generation() >= generation) {
+        // An earlier generation is never applied. Full reads contain the current one.
+        if self.core.plan().is_some_and(|plan| plan.generation() >= generation) {
             return;
         }
         match Plan::compile(document) {
@@ -264,8 +266,8 @@
                 info!("configuration taken", kv: { generation, revision });
                 self.core.apply(Event::Configure(Arc::new(plan)));
             }
-            Err(fault) => {
-                warn!("configuration refused", kv: { generation, fault = fault.to_string() });
+            Err(error) => {
+                warn!("configuration refused", kv: { generation, fault = error.to_string() });
             }
         }
     }
--- a/components/router/src/fleet.rs
+++ b/components/router/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What this router knows of the others, and what it keeps for those that hear from it.
+//! The other routers of the fleet, and the state kept for subscribers.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -10,213 +10,217 @@
 use fleet::{AnswerCache, Mirror, Neighbours, Roster, Source, Sources, Subscribers};
 use tokio::sync::watch;
 
-/// The other routers as this one sees them.
+/// The fleet as seen by this router.
 #[derive(Debug)]
 pub(crate) struct Fleet {
     own: Peer,
     mirror: RefCell<Mirror>,
     roster: RefCell<Roster>,
     sources: RefCell<Sources>,
-    hearers: RefCell<Subscribers>,
+    subscribers: RefCell<Subscribers>,
     source: RefCell<Option<Peer>>,
     answers: RefCell<AnswerCache>,
-    /// The most routers that were counted.
-    most: Cell<usize>,
-    /// How many connections of other routers stand.
+    /// The largest number of routers counted so far.
+    max_routers: Cell<usize>,
+    /// Open connections of other routers.
     connections: Cell<usize>,
-    /// Counts what was learnt, so that those who wait for news wake.
-    learnt: watch::Sender<u64>,
-    /// Whether this router follows the store by itself, and announces that.
-    follows: watch::Sender<bool>,
+    /// Counts updates, to wake waiting queries.
+    updates: watch::Sender<u64>,
+    /// Whether this router polls the store itself and announces that.
+    poller: watch::Sender<bool>,
 }
 
 impl Fleet {
-    /// A router that knows of no other at `now`.
+    /// Creates a router that knows of no others at `now`.
     pub(crate) fn new(own: Peer, now: Millis) -> Self {
         Self {
             sources: RefCell::new(Sources::new(own.clone(), now)),
-            hearers: RefCell::new(Subscribers::new(own.name.clone())),
+            subscribers: RefCell::new(Subscribers::new(own.name.clone())),
             own,
             mirror: RefCell::default(),
             roster: RefCell::default(),
             source: RefCell::default(),
             answers: RefCell::default(),
-            most: Cell::new(0),
+            max_routers: Cell::new(0),
             connections: Cell::new(0),
-            learnt: watch::Sender::default(),
-            follows: watch::Sender::default(),
+            updates: watch::Sender::default(),
+            poller: watch::Sender::default(),
         }
     }
 
-    /// Has this router follow the store.
-    pub(crate) fn follow(&self) {
+    /// Makes this router a poller.
+    pub(crate) fn become_poller(&self) {
         self.sources.borrow_mut().become_poller();
-        self.follows.send_replace(true);
+        self.poller.send_replace(true);
     }
 
-    /// Whether this router follows the store.
-    pub(crate) fn follows(&self) -> bool {
+    /// Whether this router polls the store.
+    pub(crate) fn is_poller(&self) -> bool {
         self.sources.borrow().is_poller()
     }
 
-    /// Tells when that changes.
-    pub(crate) fn follows_changes(&self) -> watch::Receiver<bool> {
-        self.follows.subscribe()
+    /// A receiver for changes of [`Self::is_poller`].
+    pub(crate) fn poller_changes(&self) -> watch::Receiver<bool> {
+        self.poller.subscribe()
     }
 
-    /// Decides whether this router follows the store. Returns whether that has changed.
-    pub(crate) fn decide(&self, now: Millis) -> bool {
+    /// Decides whether this router polls the store; returns whether that changed.
+    pub(crate) fn update_role(&self, now: Millis) -> bool {
         let changed = self.sources.borrow_mut().update_role(&mut self.roster.borrow_mut(), now);
         if changed {
-            self.follows.send_replace(self.follows());
+            self.poller.send_replace(self.is_poller());
         }
         changed
     }
 
-    /// Where to look next.
-    pub(crate) fn next(&self, now: Millis) -> Source {
-        let hearers = self.hearers(now).into_iter().map(|it| it.name).collect();
-        self.sources.borrow_mut().set_subscribers(hearers);
+    /// The next source to ask.
+    pub(crate) fn next_source(&self, now: Millis) -> Source {
+        let subscribers = self.subscribers(now).into_iter().map(|peer| peer.name).collect();
+        self.sources.borrow_mut().set_subscribers(subscribers);
         self.sources.borrow_mut().next(&mut self.roster.borrow_mut(), now)
     }
 
-    /// Changes what is known of those that may be asked.
+    /// The candidate sources.
     pub(crate) fn sources(&self) -> std::cell::RefMut<'_, Sources> {
         self.sources.borrow_mut()
     }
 
-    /// The store answered. Returns whether this router follows it from now on.
-    pub(crate) fn store_answered(&self, now: Millis) -> bool {
-        let begins = self.sources.borrow_mut().record_store_success(now);
-        if begins {
-            self.follows.send_replace(true);
+    /// Records an answer of the store; returns whether this router became a poller.
+    pub(crate) fn record_store_success(&self, now: Millis) -> bool {
+        let became_poller = self.sources.borrow_mut().record_store_success(now);
+        if became_poller {
+            self.poller.send_replace(true);
         }
-        begins
+        became_poller
     }
 
-    /// The store did not answer; it may be asked again after `pause`.
-    pub(crate) fn store_failed(&self, pause: Millis, now: Millis) {
+    /// Records a failure of the store, which may be polled again after `pause`.
+    pub(crate) fn record_store_failure(&self, pause: Millis, now: Millis) {
         self.sources.borrow_mut().record_store_failure(pause, &mut self.roster.borrow_mut(), now);
     }
 
-    /// Which routers there are.
+    /// The announced routers.
     pub(crate) fn roster(&self) -> std::cell::RefMut<'_, Roster> {
         self.roster.borrow_mut()
     }
 
-    /// All routers known at `now`, this one and those that hear from it included.
+    /// All routers known at `now`, including this one and its subscribers.
     pub(crate) fn routers(&self, now: Millis) -> BTreeMap<Arc<str>, Peer> {
         let mut roster = self.roster.borrow_mut();
         let known = roster.routers(now).cloned();
-        let own = std::iter::once(self.own.clone()).chain(self.hearers(now));
-        let routers: BTreeMap<_, _> = known.chain(own).map(|it| (it.name.clone(), it)).collect();
-        self.most.set(self.most.get().max(roster.max_routers()).max(routers.len()));
+        let own = std::iter::once(self.own.clone()).chain(self.subscribers(now));
+        let routers: BTreeMap<_, _> =
+            known.chain(own).map(|peer| (peer.name.clone(), peer)).collect();
+        self.max_routers.set(self.max_routers.get().max(roster.max_routers()).max(routers.len()));
         routers
     }
 
-    /// The most routers that this one or a follower has counted.
-    pub(crate) fn most(&self) -> usize {
-        self.most.get()
+    /// The largest number of routers counted by this router or a poller.
+    pub(crate) fn max_routers(&self) -> usize {
+        self.max_routers.get()
     }
 
-    /// Whether this router writes for the whole fleet: the first by name of those that follow the
-    /// store.
-    pub(crate) fn writes(&self) -> bool {
+    /// Whether this router writes for the whole fleet: the first poller by name does.
+    pub(crate) fn is_writer(&self) -> bool {
         let roster = self.roster.borrow();
-        let first = roster.pollers().map(|it| &it.name).min();
-        self.follows() && first.is_none_or(|it| *it >= self.own.name)
+        let first = roster.pollers().map(|peer| &peer.name).min();
+        self.is_poller() && first.is_none_or(|name| *name >= self.own.name)
     }
 
-    /// What this router announces.
+    /// This router's announcement.
     pub(crate) fn announcement(&self, now: Millis) -> Announcement {
-        let hearers = self.hearers(now);
-        Announcement { router: self.own.clone(), hearers, most: self.most.get() }
+        let subscribers = self.subscribers(now);
+        Announcement {
+            router: self.own.clone(),
+            hearers: subscribers,
+            most: self.max_routers.get(),
+        }
     }
 
-    /// The routers that hear from this one, also by way of others.
-    fn hearers(&self, now: Millis) -> Vec<Peer> {
-        let mut hearers = self.hearers.borrow_mut();
-        hearers.expire(now);
-        hearers.all()
+    /// Direct and indirect subscribers.
+    fn subscribers(&self, now: Millis) -> Vec<Peer> {
+        let mut subscribers = self.subscribers.borrow_mut();
+        subscribers.expire(now);
+        subscribers.all()
     }
 
-    /// This router and those that hear from it, as it tells when it asks.
-    pub(crate) fn named(&self, now: Millis) -> Vec<Peer> {
-        let mut named = self.hearers(now);
-        named.insert(0, self.own.clone());
-        named
+    /// This router and its subscribers, as named in queries.
+    pub(crate) fn self_and_subscribers(&self, now: Millis) -> Vec<Peer> {
+        let mut routers = self.subscribers(now);
+        routers.insert(0, self.own.clone());
+        routers
     }
 
-    /// Notes that a router asks, with those that hear from it. Returns whether it is answered.
-    pub(crate) fn meet(&self, routers: Vec<Peer>, now: Millis) -> bool {
-        self.hearers.borrow_mut().register(routers, now)
+    /// Records a query and the subscribers of its sender. Returns whether it is answered.
+    pub(crate) fn register(&self, routers: Vec<Peer>, now: Millis) -> bool {
+        self.subscribers.borrow_mut().register(routers, now)
     }
 
-    /// From whom this router hears; `None` while it looks at the store.
+    /// Records the current source; `None` is the store.
     pub(crate) fn set_source(&self, source: Option<&Peer>) {
         self.source.replace(source.cloned());
     }
 
-    /// The routers that this one exchanges hints with, where there are too many to tell all.
+    /// The routers to exchange hints with, in fleets too large for broadcasts.
     pub(crate) fn neighbours(&self, now: Millis) -> Neighbours {
         let source = self.source.borrow().clone();
-        let mut hearers = self.hearers.borrow_mut();
-        hearers.expire(now);
-        let hearers = hearers.direct().cloned().collect();
+        let mut subscribers = self.subscribers.borrow_mut();
+        subscribers.expire(now);
+        let subscribers = subscribers.direct().cloned().collect();
         let roster = self.roster.borrow();
-        let is_other = |it: &&Peer| it.name != self.own.name;
-        let followers = if self.follows() && source.is_none() {
+        let is_other = |peer: &&Peer| peer.name != self.own.name;
+        let pollers = if self.is_poller() && source.is_none() {
             roster.pollers().filter(is_other).cloned().collect()
         } else {
             Vec::new()
         };
-        Neighbours { source, subscribers: hearers, pollers: followers }
+        Neighbours { source, subscribers, pollers }
     }
 
-    /// The routers to which others are referred.
+    /// The routers that queries are referred to.
     pub(crate) fn relays(&self) -> Vec<Peer> {
-        self.hearers.borrow().relays().cloned().collect()
+        self.subscribers.borrow().relays().cloned().collect()
     }
 
-    /// Keeps what was learnt for others; see [`Mirror::apply`].
-    pub(crate) fn learn(
+    /// Records a batch for subscribers; see [`Mirror::apply`].
+    pub(crate) fn record(
         &self,
         batch: &Batch,
-        whole: bool,
-        returns: bool,
-        doubted: bool,
+        full: bool,
+        recovers: bool,
+        incomplete: bool,
         now: Millis,
     ) {
-        if whole || !batch.facts.is_empty() {
+        if full || !batch.facts.is_empty() {
             self.answers.borrow_mut().clear();
         }
-        self.mirror.borrow_mut().apply(batch, whole, returns, doubted, now);
+        self.mirror.borrow_mut().apply(batch, full, recovers, incomplete, now);
     }
 
-    /// Wakes those that wait for news.
-    pub(crate) fn tell_news(&self) {
-        self.learnt.send_modify(|it| *it += 1);
+    /// Wakes queries that wait for changes.
+    pub(crate) fn notify(&self) {
+        self.updates.send_modify(|count| *count += 1);
     }
 
-    /// Tells when something was learnt.
-    pub(crate) fn news(&self) -> watch::Receiver<u64> {
-        self.learnt.subscribe()
+    /// A receiver for updates.
+    pub(crate) fn updates(&self) -> watch::Receiver<u64> {
+        self.updates.subscribe()
     }
 
-    /// How far this router has come.
+    /// The current revision.
     pub(crate) fn position(&self) -> Option<Revision> {
         self.mirror.borrow().position()
     }
 
-    /// Whether something has changed after `revision`.
-    pub(crate) fn has_news(&self, revision: Revision) -> bool {
+    /// Whether there are changes after `revision`.
+    pub(crate) fn has_changes_since(&self, revision: Revision) -> bool {
         self.mirror.borrow().has_changes_since(revision)
     }
 
-    /// What has changed after `after`, or everything where that is `None`.
+    /// The changes after `after`, or everything if `after` is `None`.
     fn facts(&self, after: Option<Revision>, now: Millis) -> Vec<Fact> {
         let mirror = self.mirror.borrow();
-        if let Some(changes) = after.and_then(|it| mirror.changes_since(it, now)) {
+        if let Some(changes) = after.and_then(|revision| mirror.changes_since(revision, now)) {
             return changes;
         }
         let mut facts = mirror.all(now);
@@ -224,56 +228,55 @@
         facts
     }
 
-    /// That this router follows the store, where `facts` do not say so: it may not have read its
-    /// own announcement yet, and who hears from it would take it to be gone.
+    /// This router's own announcement, if it polls the store and `facts` lack it. Subscribers would
+    /// take this router to be gone otherwise.
     fn own_announcement(&self, facts: &[Fact], now: Millis) -> Option<Fact> {
-        let is_own = |it: &Fact| matches!(it, Fact::Router(it) if it.router.name == self.own.name);
-        let lacks = self.follows() && !facts.iter().any(is_own);
-        lacks.then(|| Fact::Router(self.announcement(now)))
+        let is_own = |fact: &Fact| matches!(fact, Fact::Router(announcement) if announcement.router.name == self.own.name);
+        let is_missing = self.is_poller() && !facts.iter().any(is_own);
+        is_missing.then(|| Fact::Router(self.announcement(now)))
     }
 
-    /// What has changed after `after`, or everything, packed; returns whether it is everything.
-    /// Routers of a fleet ask for the same at about the same time.
+    /// The packed changes after `after`, or everything; returns whether it is everything. Answers
+    /// are cached, since many routers query for the same changes.
     ///
     /// # Errors
     ///
-    /// A fact that can't be written.
-    pub(crate) fn packed(
+    /// A fact can't be encoded.
+    pub(crate) fn packed_changes(
         &self,
         after: Option<Revision>,
         now: Millis,
     ) -> Result<(Bytes, bool), wire::Error> {
         let revision = self.position().unwrap_or_default();
-        let after = after.filter(|it| self.mirror.borrow().covers(*it));
-        let whole = after.is_none();
+        let after = after.filter(|revision| self.mirror.borrow().covers(*revision));
+        let full = after.is_none();
         let mut answers = self.answers.borrow_mut();
         if let Some(answer) = answers.get(after, revision, now) {
-            return Ok((answer, whole));
+            return Ok((answer, full));
         }
         let facts = self.facts(after, now);
         let answer = if facts.is_empty() { Bytes::new() } else { wire::pack(&facts)? };
         answers.insert(after, revision, answer.clone(), now);
-        Ok((answer, whole))
+        Ok((answer, full))
     }
 
-    /// Counts what is held for other routers.
-    pub(crate) fn tell_held(&self, metrics: &telemetry::Metrics) {
+    /// Updates the metrics of the state kept for other routers.
+    pub(crate) fn record_metrics(&self, metrics: &telemetry::Metrics) {
         let (facts, removals) = self.mirror.borrow().counts();
         metrics.held("facts", facts);
         metrics.held("removals", removals);
         metrics.held("answer_bytes", self.answers.borrow().bytes());
-        metrics.held("hearers", self.hearers.borrow().all().len());
+        metrics.held("hearers", self.subscribers.borrow().all().len());
         metrics.held("router_connections", self.connections.get());
     }
 
-    /// Notes how many connections of other routers stand.
     pub(crate) fn set_connections(&self, count: usize) {
         self.connections.set(count);
     }
 
-    /// Keeps everything as another router packed it, for others that ask for that.
-    pub(crate) fn keep_packed(&self, facts: Bytes, now: Millis) {
-        let Some(revision) = self.position().filter(|_| !self.follows()) else { return };
+    /// Caches a full answer of another router, for queries of others.
+    pub(crate) fn cache_packed(&self, facts: Bytes, now: Millis) {
+        let Some(revision) = self.position().filter(|_| !self.is_poller()) else { return };
         self.answers.borrow_mut().insert(None, revision, facts, now);
     }
 }
--- a/components/router/src/headers.rs
+++ b/components/router/src/headers.rs
@@ -1,10 +1,10 @@
-//! Headers as the HTTP library holds them.
+//! Conversion of HTTP headers.
 
 use edge::Header;
 use ntex::http::HeaderMap;
 
-/// Headers that concern one connection only.
-const HOP: [&str; 11] = [
+/// Headers that apply to one connection only.
+const HOP_BY_HOP: [&str; 11] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -20,7 +20,7 @@
 
 /// The value of the first header called `name`, if it is text.
 pub(crate) fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
-    headers.get(name).and_then(|it| it.to_str().ok())
+    headers.get(name).and_then(|value| value.to_str().ok())
 }
 
 /// All headers whose values are text.
@@ -31,7 +31,7 @@
         .collect()
 }
 
-/// The headers that go on to the next connection.
+/// The headers to forward to the next connection.
 pub(crate) fn end_to_end(headers: Vec<Header>) -> Vec<Header> {
-    headers.into_iter().filter(|(name, _)| !HOP.contains(&&**name)).collect()
+    headers.into_iter().filter(|(name, _)| !HOP_BY_HOP.contains(&&**name)).collect()
 }
--- a/components/router/src/http.rs
+++ b/components/router/src/http.rs
@@ -1,4 +1,4 @@
-//! The pages that a router serves.
+//! HTTP endpoints of a router outside of a platform.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -23,12 +23,11 @@
 /// The kind of a chat request that names none.
 const DEFAULT_KIND: &str = "chat";
 
-/// The load of a call to a plain service, in tokens. It is next to nothing, so
-/// that the bound's floor leaves plain services to their slots and queue: a
-/// call with a key has one owner and can't be moved to another.
+/// The load of a call to a plain service, in tokens. Small enough that only slots and queues limit
+/// plain services: a call with a key has one owner and can't be moved.
 const PLAIN_WEIGHT: u64 = 1;
 
-/// The caller's headers that go on to the upstream.
+/// Request headers that are forwarded to the upstream.
 const FORWARDED: [&str; 3] = ["content-type", "accept", "last-event-id"];
 
 type Shared = State<Rc<Core>>;
@@ -44,10 +43,10 @@
         .route("/readyz", web::get().to(ready))
         .route("/status", web::get().to(status))
         .route("/metrics", web::get().to(metrics))
-        .route("/{path}*", web::route().to(nothing));
+        .route("/{path}*", web::route().to(not_found));
 }
 
-/// A caller whose key was checked, and the ids of its request.
+/// An authenticated caller and the ids of its request.
 struct Caller {
     workspace: Arc<str>,
     id: u64,
@@ -57,13 +56,14 @@
 impl Caller {
     /// Checks the workspace key: `Authorization: Bearer WORKSPACE:KEY`.
     fn check(core: &Core, request: &HttpRequest) -> Result<Self, HttpResponse> {
-        let (id, name) = core.number();
+        let (id, name) = core.next_id();
         let refuse = |kind| Err(refusal(core, kind, &name, ""));
         let Some(plan) = core.plan() else {
             return refuse(Kind::NoConfiguration);
         };
-        let token = header(request, "authorization").and_then(|it| it.strip_prefix("Bearer "));
-        let Some((workspace, key)) = token.and_then(|it| it.split_once(':')) else {
+        let token =
+            header(request, "authorization").and_then(|value| value.strip_prefix("Bearer "));
+        let Some((workspace, key)) = token.and_then(|token| token.split_once(':')) else {
             return refuse(Kind::Unauthorized);
         };
         if !plan.authenticate(workspace, key) {
@@ -86,13 +86,13 @@
     headers::text(request.headers(), name)
 }
 
-fn declared(request: &HttpRequest) -> Option<usize> {
-    header(request, "content-length").and_then(|it| it.parse().ok())
+fn content_length(request: &HttpRequest) -> Option<usize> {
+    header(request, "content-length").and_then(|value| value.parse().ok())
 }
 
-/// The time the caller gives the request: `X-Deadline-Ms`.
+/// The deadline set by the caller: `X-Deadline-Ms`.
 fn deadline(request: &HttpRequest) -> Option<Millis> {
-    header(request, "x-deadline-ms").and_then(|it| it.parse().ok()).map(Millis)
+    header(request, "x-deadline-ms").and_then(|value| value.parse().ok()).map(Millis)
 }
 
 fn template(request: &HttpRequest, path: String, body: Bytes) -> Template {
@@ -111,7 +111,7 @@
     }
 }
 
-/// The checked caller and the whole body, or the refusal.
+/// The authenticated caller and the whole body, or the refusal.
 async fn receive(
     core: &Core,
     request: &HttpRequest,
@@ -124,7 +124,7 @@
             return Err(refusal);
         }
     };
-    match body::read(&mut payload, declared(request), &core.settings).await {
+    match body::read(&mut payload, content_length(request), &core.settings).await {
         Ok(body) => Ok((caller, body)),
         Err(kind) => {
             body::discard(&mut payload).await;
@@ -140,14 +140,14 @@
     };
     let prompt = match Prompt::parse(&body) {
         Ok(prompt) => prompt,
-        Err(fault) => return caller.refuse(&core, Kind::Malformed, &fault),
+        Err(error) => return caller.refuse(&core, Kind::Malformed, &error),
     };
     let kind = header(&request, "x-request-kind").unwrap_or(DEFAULT_KIND);
     let mut template = template(&request, "/v1/chat/completions".to_owned(), body);
-    template.say_json();
-    let ask = Arrival {
+    template.set_json_content_type();
+    let arrival = Arrival {
         id: caller.id,
-        fingerprint: template.content(&caller.workspace),
+        fingerprint: template.fingerprint(&caller.workspace),
         request: caller.request,
         workspace: caller.workspace,
         kind: kind.into(),
@@ -158,7 +158,7 @@
         weight: prompt.weight,
         deadline: deadline(&request),
     };
-    relay(&core, ask, template).await
+    relay(&core, arrival, template).await
 }
 
 async fn service(request: HttpRequest, payload: Payload, core: Shared) -> HttpResponse {
@@ -171,12 +171,12 @@
         return caller.refuse(&core, Kind::Malformed, "Idempotency-Key: 1 to 200 bytes");
     }
     let kind = request.match_info().get("kind").unwrap_or("").to_owned();
-    let once = key.map(|key| key::read(&caller.workspace, key));
-    let chat = once.as_ref().map_or_else(|| caller.request.clone(), |it| it.key.clone());
+    let once = key.map(|key| key::parse(&caller.workspace, key));
+    let chat = once.as_ref().map_or_else(|| caller.request.clone(), |once| once.key.clone());
     let template = template(&request, service_path(&request, &kind), body);
-    let ask = Arrival {
+    let arrival = Arrival {
         id: caller.id,
-        fingerprint: template.content(&caller.workspace),
+        fingerprint: template.fingerprint(&caller.workspace),
         request: caller.request,
         workspace: caller.workspace,
         kind: kind.as_str().into(),
@@ -187,56 +187,56 @@
         weight: PLAIN_WEIGHT,
         deadline: deadline(&request),
     };
-    relay(&core, ask, template).await
+    relay(&core, arrival, template).await
 }
 
 /// The path and query after `/v1/services/KIND`.
 fn service_path(request: &HttpRequest, kind: &str) -> String {
-    let whole = request.uri().path_and_query().map_or("", |it| it.as_str());
+    let path = request.uri().path_and_query().map_or("", |path| path.as_str());
     let prefix = format!("/v1/services/{kind}");
-    let rest = whole.strip_prefix(&prefix).unwrap_or("");
+    let rest = path.strip_prefix(&prefix).unwrap_or("");
     if rest.starts_with('/') { rest.to_owned() } else { format!("/{rest}") }
 }
 
-async fn relay(core: &Shared, ask: Arrival, template: Template) -> HttpResponse {
-    let request = ask.request.clone();
-    let mut relay = Relay::start(core.get_ref().clone(), ask, template);
+async fn relay(core: &Shared, arrival: Arrival, template: Template) -> HttpResponse {
+    let request = arrival.request.clone();
+    let mut relay = Relay::start(core.get_ref().clone(), arrival, template);
     let (head, upstream) = match relay.next().await {
         Step::Head(head, upstream) => (head, upstream),
-        Step::Failed(answer) | Step::Cut(answer) => return answer::response(&answer),
+        Step::Failed(answer) | Step::Aborted(answer) => return answer::response(&answer),
         Step::Bytes(_) | Step::Finished => return refusal(core, Kind::Crossed, &request, ""),
     };
     let is_events = |(name, value): &Header| {
         &**name == "content-type" && value.starts_with("text/event-stream")
     };
     let events = head.headers.iter().any(is_events);
-    let mut builder = answer::passed_on(&head);
+    let mut builder = answer::forwarded(&head);
     builder.header(REQUEST_ID, &*request);
     builder.header(UPSTREAM, &*upstream);
     if let Some(traceparent) = relay.traceparent() {
         builder.header("traceparent", traceparent);
     }
-    let parts = stream::unfold(Rest::Answer(Box::new(relay)), move |rest| part(rest, events));
+    let parts = stream::unfold(Rest::Answer(Box::new(relay)), move |rest| next_part(rest, events));
     builder.streaming(Box::pin(parts))
 }
 
-/// What is left of an answer's body.
+/// The rest of a response body.
 enum Rest {
     Answer(Box<Relay>),
-    /// The connection is broken, so that no reader takes the answer for whole.
-    Break,
+    /// Abort the connection, so that the response isn't taken to be complete.
+    Abort,
     Nothing,
 }
 
 type Part = Result<ntex::util::Bytes, std::io::Error>;
 
-/// The next part of the body. An answer that will not be whole ends with an
-/// error event where the protocol has one, and always with a broken connection.
-async fn part(rest: Rest, events: bool) -> Option<(Part, Rest)> {
-    let broken = || Some((Err(answer::broken()), Rest::Nothing));
+/// The next part of the body. An incomplete response ends with an error event if it is a stream of
+/// events, and always with an aborted connection.
+async fn next_part(rest: Rest, events: bool) -> Option<(Part, Rest)> {
+    let aborted = || Some((Err(answer::aborted()), Rest::Nothing));
     let mut relay = match rest {
         Rest::Answer(relay) => relay,
-        Rest::Break => return broken(),
+        Rest::Abort => return aborted(),
         Rest::Nothing => return None,
     };
     match relay.next().await {
@@ -245,10 +245,10 @@
             Some((Ok(bytes), Rest::Answer(relay)))
         }
         Step::Finished => None,
-        Step::Failed(answer) | Step::Cut(answer) if events => {
-            Some((Ok(event(&answer).into()), Rest::Break))
+        Step::Failed(answer) | Step::Aborted(answer) if events => {
+            Some((Ok(event(&answer).into()), Rest::Abort))
         }
-        Step::Failed(_) | Step::Cut(_) | Step::Head(..) => broken(),
+        Step::Failed(_) | Step::Aborted(_) | Step::Head(..) => aborted(),
     }
 }
 
@@ -269,7 +269,7 @@
         Err(refusal) => return refusal,
     };
     let decision = core.decisions.borrow().find(&id);
-    match decision.filter(|it| it.workspace == caller.workspace) {
+    match decision.filter(|decision| decision.workspace == caller.workspace) {
         Some(decision) => HttpResponse::Ok().json(&*decision),
         None => caller.refuse(&core, Kind::NotFound, &id),
     }
@@ -287,12 +287,12 @@
 }
 
 pub(crate) async fn metrics(core: Shared) -> HttpResponse {
-    core.fleet().tell_held(&core.metrics);
+    core.fleet().record_metrics(&core.metrics);
     HttpResponse::Ok().content_type("text/plain; version=0.0.4").body(core.metrics.render())
 }
 
-async fn nothing(mut payload: Payload, core: Shared) -> HttpResponse {
+async fn not_found(mut payload: Payload, core: Shared) -> HttpResponse {
     body::discard(&mut payload).await;
-    let (_, request) = core.number();
+    let (_, request) = core.next_id();
     refusal(&core, Kind::NotFound, &request, "")
 }
--- a/components/router/src/ingress.rs
+++ b/components/router/src/ingress.rs
@@ -1,4 +1,4 @@
-//! Callers that speak a platform's dialect.
+//! Serves callers that use a platform's dialect.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -18,13 +18,12 @@
 use crate::template::Template;
 use crate::{answer, body, headers, http};
 
-/// The load of one request: upstreams that are reached directly are compared
-/// by requests.
-const WEIGHT: u64 = 1;
+/// The load of one request: upstreams that are reached directly are compared by requests.
+const REQUEST_WEIGHT: u64 = 1;
 
 type Shared = State<Rc<Core>>;
 
-/// The pages for operators and the platform.
+/// Routes for operators and the platform.
 pub(crate) fn operators(config: &mut web::ServiceConfig, ready: &str) {
     config
         .route(ready, web::get().to(http::ready))
@@ -33,36 +32,37 @@
         .route("/metrics", web::get().to(http::metrics));
 }
 
-/// Takes any request of a caller.
+/// Handles any request of a caller.
 pub(crate) async fn serve(
     request: HttpRequest,
     mut payload: Payload,
     core: Shared,
 ) -> HttpResponse {
     let headers = headers::collect(request.headers());
-    let intake = core.edges().dialect.parse_request(&headers);
-    let (number, own_id) = core.number();
-    let id = intake.id.clone().unwrap_or(own_id);
-    let declared = edge::find(&headers, "content-length").and_then(|it| it.parse().ok());
-    let body = match body::read(&mut payload, declared, &core.settings).await {
+    let metadata = core.edges().dialect.parse_request(&headers);
+    let (number, own_id) = core.next_id();
+    let id = metadata.id.clone().unwrap_or(own_id);
+    let content_length =
+        edge::find(&headers, "content-length").and_then(|value| value.parse().ok());
+    let body = match body::read(&mut payload, content_length, &core.settings).await {
         Ok(body) => body,
         Err(kind) => return refuse(&core, kind, &id),
     };
-    if !core.configured().await {
+    if !core.wait_until_configured().await {
         return refuse(&core, Kind::NoConfiguration, &id);
     }
-    let target = match Target::find(&core, &request, &intake) {
+    let target = match Target::find(&core, &request, &metadata) {
         Ok(target) => target,
         Err(kind) => return refuse(&core, kind, &id),
     };
     let template = template(&request, headers, body, &target);
-    let content = template.content(&target.workspace);
-    let ask = ask(number, id, content, &intake, target);
-    relay(&core, &request, ask, template).await
+    let fingerprint = template.fingerprint(&target.workspace);
+    let arrival = arrival(number, id, fingerprint, &metadata, target);
+    relay(&core, &request, arrival, template).await
 }
 
 fn template(request: &HttpRequest, headers: Vec<Header>, body: Bytes, target: &Target) -> Template {
-    let path = request.uri().path_and_query().map_or("/", |it| it.as_str());
+    let path = request.uri().path_and_query().map_or("/", |path| path.as_str());
     Template {
         method: request.method().as_str().into(),
         path: path.into(),
@@ -74,31 +74,37 @@
     }
 }
 
-fn ask(number: u64, id: Arc<str>, content: u64, intake: &Metadata, target: Target) -> Arrival {
+fn arrival(
+    number: u64,
+    id: Arc<str>,
+    fingerprint: u64,
+    metadata: &Metadata,
+    target: Target,
+) -> Arrival {
     Arrival {
         id: number,
-        fingerprint: content,
-        chat: chat(&intake.prefixes).unwrap_or_else(|| id.clone()),
-        prefixes: shared(&intake.prefixes),
+        fingerprint,
+        chat: chat(&metadata.prefixes).unwrap_or_else(|| id.clone()),
+        prefixes: shareable_prefixes(&metadata.prefixes),
         request: id,
         workspace: target.workspace,
         kind: target.kind,
         model: target.model,
         idempotency_key: None,
-        weight: WEIGHT,
-        deadline: intake.remaining,
+        weight: REQUEST_WEIGHT,
+        deadline: metadata.remaining,
     }
 }
 
-/// What keeps the requests together that share most of their prompt: the last
-/// part that is not of one request alone.
+/// The id that groups requests with a common prompt: the last prefix that is not unique to this
+/// request.
 fn chat(prompt: &[Prefix]) -> Option<Arc<str>> {
     let shared = prompt.len().checked_sub(2)?;
     Some(prompt[shared].id.clone())
 }
 
-/// The parts of the prompt that others may share, each with all before.
-fn shared(prompt: &[Prefix]) -> Vec<routing::Prefix> {
+/// The shareable prefixes of the prompt, each including all before it.
+fn shareable_prefixes(prompt: &[Prefix]) -> Vec<routing::Prefix> {
     let parts = prompt.split_last().map_or(prompt, |(_, shared)| shared);
     let start = routing::Prefix { hash: 0, tokens: 0 };
     let join = |before: &mut routing::Prefix, part: &Prefix| {
@@ -114,7 +120,7 @@
     failure(core, &Answer::new(kind, id, core.retry_after_ms(kind), ""))
 }
 
-/// An answer of the fleet's own.
+/// An error response of the router.
 fn failure(core: &Core, answer: &Answer) -> HttpResponse {
     let mut builder = answer::error(answer);
     for (name, value) in core.edges().dialect.response_headers(&answer.request_id) {
@@ -123,14 +129,13 @@
     if let Some(after) = answer.retry_after_ms {
         builder.header("retry-after", format!("{}.{:03}", after / 1_000, after % 1_000));
     }
-    if core.sends_away(answer.kind) {
+    if core.should_reconnect(answer.kind) {
         builder.force_close();
     }
     builder.body(answer.to_json())
 }
 
-/// A router that is being stopped asks callers for a new connection, which
-/// leads to another router.
+/// Closes connections during a drain, so that callers reconnect to another router.
 fn close_if_stopping(core: &Core, builder: &mut HttpResponseBuilder) {
     if core.stop.is_asked() {
         builder.force_close();
@@ -140,23 +145,23 @@
 async fn relay(
     core: &Shared,
     request: &HttpRequest,
-    ask: Arrival,
+    arrival: Arrival,
     template: Template,
 ) -> HttpResponse {
     let events = template.events;
-    let mut relay = Relay::start(core.get_ref().clone(), ask, template);
+    let mut relay = Relay::start(core.get_ref().clone(), arrival, template);
     let head = match relay.next().await {
         Step::Head(head, _) => head,
-        Step::Failed(answer) | Step::Cut(answer) => return failure(core, &answer),
+        Step::Failed(answer) | Step::Aborted(answer) => return failure(core, &answer),
         Step::Bytes(_) | Step::Finished => {
             unreachable!("the reducer gives a head first")
         }
     };
-    let mut builder = answer::passed_on(&head);
+    let mut builder = answer::forwarded(&head);
     close_if_stopping(core, &mut builder);
     if events {
         let connection = request.io().cloned();
-        let parts = stream::unfold(Some((Box::new(relay), connection)), part);
+        let parts = stream::unfold(Some((Box::new(relay), connection)), next_part);
         return builder.streaming(Box::pin(parts));
     }
     let mut whole = Vec::new();
@@ -164,7 +169,7 @@
         match relay.next().await {
             Step::Bytes(bytes) => whole.extend_from_slice(&bytes),
             Step::Finished => return builder.body(whole),
-            Step::Failed(answer) | Step::Cut(answer) => return failure(core, &answer),
+            Step::Failed(answer) | Step::Aborted(answer) => return failure(core, &answer),
             Step::Head(..) => {}
         }
     }
@@ -172,22 +177,21 @@
 
 type Chunk = Result<ntex::util::Bytes, std::io::Error>;
 
-/// A stream on its way, and the caller's connection.
+/// A stream in progress and the caller's connection.
 type Rest = Option<(Box<Relay>, Option<IoRef>)>;
 
-/// The next part of a stream. One that will not be whole ends with its
-/// connection: the server would write an answer of its own into the stream
-/// otherwise.
-async fn part(rest: Rest) -> Option<(Chunk, Rest)> {
+/// The next part of a stream. An incomplete stream ends by closing its connection, since the server
+/// would write an error response into it otherwise.
+async fn next_part(rest: Rest) -> Option<(Chunk, Rest)> {
     let (mut relay, connection) = rest?;
     match relay.next().await {
         Step::Bytes(bytes) => Some((Ok(copy(&bytes)), Some((relay, connection)))),
         Step::Finished => None,
-        Step::Failed(_) | Step::Cut(_) | Step::Head(..) => {
+        Step::Failed(_) | Step::Aborted(_) | Step::Head(..) => {
             if let Some(connection) = connection {
                 connection.close();
             }
-            Some((Err(answer::broken()), None))
+            Some((Err(answer::aborted()), None))
         }
     }
 }
--- a/components/router/src/key.rs
+++ b/components/router/src/key.rs
@@ -1,28 +1,27 @@
 //! Idempotency keys that name their owner.
 //!
-//! Such a key is `sk1.UPSTREAM.INCARNATION.RANDOM`. Its calls run in that life
-//! of that upstream's sidecar or nowhere, so no platform call is needed to keep
-//! them from running twice. A key that a caller made up is given an owner by
-//! one transaction in the platform's service.
+//! Such a key is `sk1.UPSTREAM.INCARNATION.RANDOM`. Its calls run in that incarnation of the
+//! upstream's sidecar or not at all, which prevents duplicate runs without a call to the platform.
+//! A key made up by a caller is assigned an owner by one transaction in the platform's service.
 
 use std::sync::Arc;
 
 use routing::{IdempotencyKey, Owner};
 use uuid::Uuid;
 
-/// What a key of the fleet begins with.
+/// The prefix of generated keys.
 const PREFIX: &str = "sk1";
 
 /// The longest key, in bytes.
 pub(crate) const MAX_KEY: usize = 200;
 
-/// A fresh key of `owner`.
+/// Generates a key for `owner`.
 pub(crate) fn mint(owner: &Owner) -> String {
     format!("{PREFIX}.{}.{:x}.{}", owner.upstream, owner.incarnation, Uuid::now_v7().simple())
 }
 
-/// The key as the fleet knows it, within its workspace.
-pub(crate) fn read(workspace: &str, key: &str) -> IdempotencyKey {
+/// A key scoped to its workspace.
+pub(crate) fn parse(workspace: &str, key: &str) -> IdempotencyKey {
     IdempotencyKey { key: format!("{workspace}/{key}").into(), owner: owner(key) }
 }
 
@@ -36,13 +35,13 @@
     Some(Owner { upstream: Arc::from(upstream), incarnation })
 }
 
-/// An owner as it is kept in the platform's service.
-pub(crate) fn write_owner(owner: &Owner) -> String {
+/// An owner in its stored form.
+pub(crate) fn format_owner(owner: &Owner) -> String {
     format!("{}.{:x}", owner.upstream, owner.incarnation)
 }
 
-/// The owner that [`write_owner`] wrote.
-pub(crate) fn read_owner(text: &str) -> Option<Owner> {
+/// Parses the output of [`write_owner`].
+pub(crate) fn parse_owner(text: &str) -> Option<Owner> {
     let (upstream, incarnation) = text.split_once('.')?;
     let incarnation = u64::from_str_radix(incarnation, 16).ok()?;
     Some(Owner { upstream: Arc::from(upstream), incarnation })
--- a/components/router/src/lib.rs
+++ b/components/router/src/lib.rs
@@ -1,39 +1,39 @@
-//! The router process: the edge around the `routing` reducer.
+//! The router process: I/O around the `routing` reducer.
 //!
-//! Everything but the wait for signals happens on the one thread of the HTTP
-//! server, so that no state is shared between threads.
+//! Everything but the wait for signals runs on the one thread of the HTTP server, so no state is
+//! shared between threads.
 
 mod announcement;
 mod answer;
 mod background;
 mod body;
+mod clients;
 mod core;
 mod crashes;
 mod decisions;
 mod direct;
 mod error;
-mod extent;
 mod feed;
 mod fleet;
 mod headers;
-mod hearing;
 mod hints;
 mod http;
 mod ingress;
 mod key;
-mod memory;
 mod peers;
-mod places;
+mod permits;
+mod persistence;
 mod prompt;
-mod reach;
+mod query_client;
+mod query_server;
 mod relay;
 mod report;
+mod saturation;
 mod server;
 mod shared;
-mod shares;
 mod target;
-mod telling;
 mod template;
+mod watch_scope;
 
 pub use error::Error;
 pub use server::Router;
--- /dev/null
+++ b/components/router/src/query_server.rs
@@ -0,0 +1,183 @@
+//! Answers queries of other routers for the content of the platform's store.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use bytes::Bytes;
+use clock::Millis;
+use edge::{Era, Peer, Revision};
+use link::{Exchange, Identity, Sink};
+use spdlog::{debug, error, info};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::JoinSet;
+use wire::{Changes, Chunk, Frame, Query, Referral, Status, Welcome};
+
+use crate::core::Core;
+
+/// The longest time that a query waits for changes.
+const MAX_WAIT: Millis = Millis(5_000);
+
+/// How much newer a confirmation must be than that of the querying router to be worth an answer.
+const MIN_CONFIRMATION_GAIN: Millis = Millis(200);
+
+/// The most bytes of facts in one frame.
+const MAX_CHUNK_BYTES: usize = 64 * 1_024;
+
+/// Answers queries until shutdown.
+pub(crate) async fn serve(core: Rc<Core>) {
+    let Some(address) = core.peers().map(crate::peers::Peers::address) else { return };
+    let listener = match listen(address).await {
+        Ok(listener) => listener,
+        Err(error) => {
+            error!("other routers can't ask this one", kv: { fault = error.to_string() });
+            return;
+        }
+    };
+    let mut connections = JoinSet::new();
+    loop {
+        core.fleet().set_connections(connections.len());
+        let accepted = tokio::select! {
+            accepted = listener.accept() => accepted,
+            Some(_) = connections.join_next() => continue,
+        };
+        match accepted {
+            Ok((socket, _)) => {
+                connections.spawn_local(serve_connection(core.clone(), socket));
+            }
+            Err(error) => {
+                debug!("connection of another router not accepted", kv: { fault = error.to_string() });
+                tokio::time::sleep(MIN_CONFIRMATION_GAIN.duration()).await;
+            }
+        }
+    }
+}
+
+async fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
+    TcpListener::bind(address).await
+}
+
+/// Answers the queries of one connection until it closes.
+async fn serve_connection(core: Rc<Core>, socket: TcpStream) {
+    let identity = Identity { key: core.settings.link_key.clone() };
+    let name = core.settings.name.clone();
+    let welcome = move || Welcome { name: name.clone(), status: Status::default() };
+    let handle = move |exchange| handle_query(core.clone(), exchange);
+    if let Err(error) = link::accept(socket, identity, welcome, handle).await {
+        debug!("a connection of another router ended", kv: { fault = error.to_string() });
+    }
+}
+
+async fn handle_query(core: Rc<Core>, exchange: Exchange) {
+    let Exchange { frame, mut sink } = exchange;
+    let Frame::Query(query) = frame else { return sink.reset() };
+    let sender = query.routers.first().map(|peer| peer.name.clone()).unwrap_or_default();
+    let result = if core.fleet().register(query.routers.clone(), core.clock.now()) {
+        answer_query(&core, &query, &mut sink).await
+    } else {
+        refer(core.fleet().relays(), &mut sink).await
+    };
+    if let Err(error) = result {
+        debug!("query not answered", kv: { peer = &*sender, fault = error.to_string() });
+    }
+}
+
+/// Refers the querying router to others.
+async fn refer(routers: Vec<Peer>, sink: &mut Sink) -> Result<(), link::Error> {
+    sink.finish(&Frame::Referral(Referral { routers })).await
+}
+
+/// Answers with the changes as soon as there are any, or the confirmation is newer than the
+/// querying router's.
+async fn answer_query(core: &Core, query: &Query, sink: &mut Sink) -> Result<(), link::Error> {
+    let received_at = core.clock.now();
+    let after = query.after.map(from_wire);
+    let until = received_at + Millis(query.wait_ms).min(MAX_WAIT);
+    let mut updates = core.fleet().updates();
+    loop {
+        updates.mark_unchanged();
+        let now = core.clock.now();
+        if has_answer(core, query, after, received_at) || (now >= until && !is_behind(core, after))
+        {
+            break;
+        }
+        if now >= until {
+            return refer(Vec::new(), sink).await;
+        }
+        tokio::select! {
+            _ = updates.changed() => {}
+            () = tokio::time::sleep(now.until(until).duration()) => {}
+            () = sink.closed() => return Ok(()),
+        }
+    }
+    let now = core.clock.now();
+    let packed = core.fleet().packed_changes(after, now);
+    let (facts, full) = match packed {
+        Ok(packed) => packed,
+        Err(error) => {
+            error!("facts can't be encoded", kv: { fault = error.to_string() });
+            return refer(Vec::new(), sink).await;
+        }
+    };
+    if full {
+        let peer = query.routers.first().map_or("", |peer| &peer.name);
+        info!("answering another router in full", kv: { peer, bytes = facts.len() });
+    }
+    let position = core.fleet().position().unwrap_or_default();
+    let head = Changes {
+        revision: wire::Revision { era: position.era.0, number: position.number },
+        full,
+        waited_ms: received_at.until(now).0,
+        confirmation_age_ms: core.confirmation_age_ms(),
+    };
+    core.metrics.control("told", facts.len());
+    send_changes(sink, head, facts).await
+}
+
+/// Whether this router has changes or a newer confirmation for the querying router.
+fn has_answer(core: &Core, query: &Query, after: Option<Revision>, received_at: Millis) -> bool {
+    let Some(position) = core.fleet().position() else { return false };
+    let Some(after) = after else { return true };
+    if position.era != after.era {
+        return position.era > after.era;
+    }
+    if position.number < after.number {
+        return false;
+    }
+    let theirs = query
+        .confirmation_age_ms
+        .map(|proof_ms| Millis(proof_ms) + received_at.until(core.clock.now()));
+    let ours = core.confirmation_age_ms().map(Millis);
+    let is_newer =
+        ours.is_some_and(|ours| theirs.is_none_or(|theirs| ours + MIN_CONFIRMATION_GAIN < theirs));
+    is_newer || core.fleet().has_changes_since(after)
+}
+
+/// Whether this router is at an earlier revision than the querying one.
+fn is_behind(core: &Core, after: Option<Revision>) -> bool {
+    let Some(position) = core.fleet().position() else { return true };
+    let order = |revision: Revision| (revision.era, revision.number);
+    after.is_some_and(|after| order(position) < order(after))
+}
+
+async fn send_changes(sink: &mut Sink, head: Changes, mut facts: Bytes) -> Result<(), link::Error> {
+    if facts.is_empty() {
+        return sink.finish(&Frame::Changes(head)).await;
+    }
+    sink.send(&Frame::Changes(head)).await?;
+    let mut sequence = 0;
+    while !facts.is_empty() {
+        let bytes = facts.split_to(MAX_CHUNK_BYTES.min(facts.len()));
+        let chunk = Frame::Chunk(Chunk { attempt: 0, sequence, bytes });
+        if facts.is_empty() {
+            return sink.finish(&chunk).await;
+        }
+        sink.send(&chunk).await?;
+        sequence += 1;
+    }
+    Ok(())
+}
+
+/// Converts a revision from its wire format.
+pub(crate) fn from_wire(revision: wire::Revision) -> Revision {
+    Revision { era: Era(revision.era), number: revision.number }
+}
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -1,4 +1,4 @@
-//! One request on its way: the reducer's effects, carried out one by one.
+//! Runs one request by carrying out the reducer's effects in order.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -19,7 +19,7 @@
 use crate::key;
 use crate::template::Template;
 
-/// An attempt under way.
+/// An attempt in progress.
 enum Call {
     /// Through the sidecar.
     Link(link::Call),
@@ -28,7 +28,7 @@
 }
 
 impl Call {
-    /// What happened to attempt `attempt` of request `id` next.
+    /// The next event of attempt `attempt` of request `id`.
     async fn next(&mut self, id: u64, attempt: u32) -> Event {
         match self {
             Self::Link(call) => match call.next().await {
@@ -43,67 +43,67 @@
     }
 }
 
-/// What the caller gets next.
+/// The next thing to pass to the caller.
 #[derive(Debug)]
 pub(crate) enum Step {
-    /// The head of the answer, and the upstream that it is from.
+    /// The head of the response and the upstream that sent it.
     Head(Head, Arc<str>),
-    /// A part of the answer's body.
+    /// A part of the response body.
     Bytes(Bytes),
-    /// The answer is whole.
+    /// The response is complete.
     Finished,
-    /// The final answer is an error.
+    /// The final response is an error.
     Failed(Answer),
-    /// The answer that has begun will not be whole.
-    Cut(Answer),
+    /// A response that has begun will not be completed.
+    Aborted(Answer),
 }
 
-/// A request between its arrival and its final answer. Dropping it earlier
-/// means that the caller went away.
+/// A request between its arrival and its final response. Dropping it earlier cancels the request.
 pub(crate) struct Relay {
     core: Rc<Core>,
     id: u64,
     request: Arc<str>,
     workspace: Arc<str>,
-    once: Option<Arc<str>>,
+    idempotency_key: Option<Arc<str>>,
     template: Template,
     span: Span,
     /// The trace context for the next hop.
     traceparent: Option<Arc<str>>,
-    came: Millis,
+    arrived_at: Millis,
     effects: VecDeque<Effect>,
     call: Option<Call>,
-    /// What earlier attempts have passed on of the answer.
+    /// What earlier attempts have forwarded of the response.
     progress: Progress,
     attempt: u32,
     upstream: Arc<str>,
-    /// When the caller's time is over. By the clock that also counts suspension: timers do not.
+    /// The request's deadline. Kept by the clock that includes suspensions of the host, which
+    /// timers don't.
     deadline: Option<Millis>,
-    /// When something must have come back; `None` once it has, or later with each
-    /// reply where `silence` is set.
+    /// When the current attempt stalls; `None` after its first reply, or pushed back by each reply
+    /// if `silence_limit` is set.
     timeout: Option<Instant>,
-    /// How long nothing may come from an upstream that is reached directly.
-    silence: Option<Duration>,
-    /// Until when the request waits before it is sent.
-    pause: Option<Instant>,
-    over: bool,
+    /// The longest time between two replies of an upstream that is reached directly.
+    silence_limit: Option<Duration>,
+    /// End of the backoff before the next attempt.
+    backoff_until: Option<Instant>,
+    is_done: bool,
 }
 
 impl Relay {
-    /// Takes a request to the reducer.
-    pub(crate) fn start(core: Rc<Core>, ask: Arrival, template: Template) -> Self {
-        let came = template.traceparent.as_deref();
-        let span = core.tracer.span("router", came, &ask.request);
-        let traceparent = span.traceparent(came).map(Into::into);
+    /// Passes a request to the reducer.
+    pub(crate) fn start(core: Rc<Core>, arrival: Arrival, template: Template) -> Self {
+        let incoming = template.traceparent.as_deref();
+        let span = core.tracer.span("router", incoming, &arrival.request);
+        let traceparent = span.traceparent(incoming).map(Into::into);
         let mut relay = Self {
-            id: ask.id,
-            request: ask.request.clone(),
-            workspace: ask.workspace.clone(),
-            once: ask.idempotency_key.as_ref().map(|it| it.key.clone()),
+            id: arrival.id,
+            request: arrival.request.clone(),
+            workspace: arrival.workspace.clone(),
+            idempotency_key: arrival.idempotency_key.as_ref().map(|key| key.key.clone()),
             template,
             span,
             traceparent,
-            came: core.clock.now(),
+            arrived_at: core.clock.now(),
             effects: VecDeque::new(),
             call: None,
             progress: Progress::default(),
@@ -111,20 +111,20 @@
             upstream: "".into(),
             deadline: None,
             timeout: None,
-            silence: None,
-            pause: None,
-            over: false,
+            silence_limit: None,
+            backoff_until: None,
+            is_done: false,
             core,
         };
-        relay.apply(Event::Arrival(ask));
+        relay.apply(Event::Arrival(arrival));
         relay
     }
 
-    /// What the caller gets next; nothing comes after an end.
+    /// The next step; nothing follows an end.
     pub(crate) async fn next(&mut self) -> Step {
         loop {
             while let Some(effect) = self.effects.pop_front() {
-                if let Some(step) = self.act(effect).await {
+                if let Some(step) = self.carry_out(effect).await {
                     return step;
                 }
             }
@@ -132,7 +132,7 @@
         }
     }
 
-    /// The trace context for whoever sees the answer.
+    /// The trace context of the response.
     pub(crate) fn traceparent(&self) -> Option<&str> {
         self.traceparent.as_deref()
     }
@@ -151,27 +151,27 @@
         if let Some(kind) = decision.error {
             self.span.set("error", <&str>::from(kind));
         }
-        let trace = self.traceparent().and_then(|it| it.split('-').nth(1));
+        let trace = self.traceparent().and_then(|traceparent| traceparent.split('-').nth(1));
         self.core.record(decision, trace.unwrap_or(""));
     }
 
-    async fn act(&mut self, effect: Effect) -> Option<Step> {
+    async fn carry_out(&mut self, effect: Effect) -> Option<Step> {
         match effect {
             Effect::Head(head) => {
-                self.core.metrics.first_token(self.came.until(self.core.clock.now()).0);
+                self.core.metrics.first_token(self.arrived_at.until(self.core.clock.now()).0);
                 return Some(Step::Head(head, self.upstream.clone()));
             }
             Effect::Relay(bytes) => return Some(Step::Bytes(bytes)),
             Effect::Finish => return Some(self.end(Step::Finished)),
             Effect::Fail(answer) => return Some(self.end(Step::Failed(answer))),
-            Effect::Abort(answer) => return Some(self.end(Step::Cut(answer))),
-            Effect::Cancel => self.hang_up(),
+            Effect::Abort(answer) => return Some(self.end(Step::Aborted(answer))),
+            Effect::Cancel => self.end_call(),
             Effect::BindKey { key, owner } => self.bind(&key, &owner).await,
             Effect::Send(attempt) => self.send(attempt).await,
             Effect::Claim { pool, claim } => self.claim(&pool, claim).await,
-            Effect::UpdateDirectory { .. } => self.core.tell(effect),
+            Effect::UpdateDirectory { .. } => self.core.queue_update(effect),
             Effect::CloseIdle { address } => self.core.client().forget(&address),
-            Effect::Wait(pause) => self.pause = Some(Instant::now() + pause.duration()),
+            Effect::Wait(pause) => self.backoff_until = Some(Instant::now() + pause.duration()),
             Effect::Record(_)
             | Effect::Connect { .. }
             | Effect::PublishPrefixes(_)
@@ -191,7 +191,7 @@
     }
 
     fn end(&mut self, step: Step) -> Step {
-        self.over = true;
+        self.is_done = true;
         self.call = None;
         step
     }
@@ -199,20 +199,20 @@
     async fn bind(&mut self, key: &str, owner: &Owner) {
         let owner = match &self.core.store {
             Some(store) => {
-                let (key, value) = (format!("once/{key}"), key::write_owner(owner));
+                let (key, value) = (format!("once/{key}"), key::format_owner(owner));
                 let stored = store.put_if_absent(&key, &value).await;
-                stored.ok().and_then(|text| key::read_owner(&text))
+                stored.ok().and_then(|text| key::parse_owner(&text))
             }
             None => None,
         };
         self.apply(Event::KeyBound { id: self.id, owner });
     }
 
-    /// Asks the owner of a pool for a place.
+    /// Claims a permit from the owner of a pool.
     async fn claim(&mut self, pool: &Arc<str>, claim: Claim) {
         let (id, number) = (self.id, claim.number);
         let core = self.core.clone();
-        let event = match core.places.ask(&core, pool, claim).await {
+        let event = match core.permits.claim(&core, pool, claim).await {
             Some(Resolution::Granted(upstream)) => Event::Granted { id, number, upstream },
             Some(Resolution::Refused(after_ms)) => Event::Denied { id, number, after_ms },
             Some(Resolution::Unanswered) | None => Event::Unanswered { id, number },
@@ -220,14 +220,14 @@
         self.apply(event);
     }
 
-    /// Gives up the current attempt.
-    fn hang_up(&mut self) {
+    /// Ends the current attempt.
+    fn end_call(&mut self) {
         if let Some(Call::Direct(call)) = self.call.take() {
             self.progress = call.progress();
         }
     }
 
-    /// Sends straight to the upstream; faults come with the replies.
+    /// Sends straight to the upstream; errors arrive with the replies.
     fn send_direct(&mut self, attempt: &Attempt) {
         let workspace = (!self.template.anonymous).then(|| self.workspace.clone());
         self.call = Some(Call::Direct(Box::new(direct::Call::start(
@@ -241,7 +241,7 @@
     }
 
     async fn send(&mut self, attempt: Attempt) {
-        self.hang_up();
+        self.end_call();
         self.attempt = attempt.number;
         self.upstream = attempt.upstream.clone();
         let deadline = self.core.clock.now() + attempt.remaining;
@@ -249,10 +249,10 @@
         self.deadline = Some(deadline);
         self.timeout = Some(timeout);
         if self.core.is_direct() {
-            self.silence = Some(attempt.timeout.duration());
+            self.silence_limit = Some(attempt.timeout.duration());
             return self.send_direct(&attempt);
         }
-        let frame = Frame::Open(self.open(&attempt));
+        let frame = Frame::Open(self.open_frame(&attempt));
         let call = self.core.links.call(&attempt.upstream, &attempt.address, &frame);
         let (id, attempt) = (self.id, attempt.number);
         match timeout_at(timeout, call).await {
@@ -262,30 +262,30 @@
                     self.core.apply(Event::Connected(welcome));
                 }
             }
-            Ok(Err(fault)) => {
-                self.apply(Event::ConnectionFailed { id, attempt, sent: !fault.nothing_sent() });
+            Ok(Err(error)) => {
+                self.apply(Event::ConnectionFailed { id, attempt, sent: !error.nothing_sent() });
             }
-            Err(_) => self.late(),
+            Err(_) => self.handle_timeout(),
         }
     }
 
-    /// The timeout or the deadline has passed.
-    fn late(&mut self) {
+    /// Handles a passed timeout or deadline.
+    fn handle_timeout(&mut self) {
         let (id, attempt) = (self.id, self.attempt);
-        let event = if self.deadline.is_some_and(|it| it <= self.core.clock.now()) {
+        let event = if self.deadline.is_some_and(|deadline| deadline <= self.core.clock.now()) {
             Event::Expire { id }
         } else {
-            self.rearm();
+            self.reset_timeout();
             Event::Stalled { id, attempt }
         };
         self.apply(event);
     }
 
-    fn rearm(&mut self) {
-        self.timeout = self.silence.map(|it| Instant::now() + it);
+    fn reset_timeout(&mut self) {
+        self.timeout = self.silence_limit.map(|limit| Instant::now() + limit);
     }
 
-    fn open(&self, attempt: &Attempt) -> Open {
+    fn open_frame(&self, attempt: &Attempt) -> Open {
         Open {
             request: self.request.clone(),
             attempt: attempt.number,
@@ -296,7 +296,7 @@
             remaining_ms: attempt.remaining.0,
             weight: attempt.weight,
             incarnation: attempt.incarnation,
-            idempotency_key: self.once.clone(),
+            idempotency_key: self.idempotency_key.clone(),
             generation: attempt.generation,
             traceparent: self.traceparent.clone(),
             method: self.template.method.clone(),
@@ -306,11 +306,10 @@
         }
     }
 
-    /// Waits for the next frame, the loss of the link, the timeout or the
-    /// deadline.
+    /// Waits for the next frame, the loss of the link, the timeout or the deadline.
     async fn wait(&mut self) {
         let (id, attempt) = (self.id, self.attempt);
-        if let Some(pause) = self.pause.take() {
+        if let Some(pause) = self.backoff_until.take() {
             tokio::time::sleep_until(pause).await;
             return self.apply(Event::WaitElapsed { id });
         }
@@ -318,21 +317,23 @@
             return std::future::pending().await;
         };
         let now = self.core.clock.now();
-        // The clock's milliseconds are whole: a timer for the rest alone goes off before it.
-        let left = |it: Millis| Instant::now() + (now.until(it) + Millis(1)).duration();
-        let latest = self.timeout.into_iter().chain(self.deadline.map(left)).min();
-        let latest = latest.unwrap_or_else(Instant::now);
-        let Ok(event) = timeout_at(latest, call.next(id, attempt)).await else {
-            return self.late();
+        // The clock counts whole milliseconds, so a timer without the extra one may fire before the
+        // deadline.
+        let to_instant =
+            |deadline: Millis| Instant::now() + (now.until(deadline) + Millis(1)).duration();
+        let wake_at = self.timeout.into_iter().chain(self.deadline.map(to_instant)).min();
+        let wake_at = wake_at.unwrap_or_else(Instant::now);
+        let Ok(event) = timeout_at(wake_at, call.next(id, attempt)).await else {
+            return self.handle_timeout();
         };
-        self.rearm();
+        self.reset_timeout();
         self.apply(event);
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        if !self.over {
+        if !self.is_done {
             self.apply(Event::Cancel { id: self.id });
         }
     }
--- a/components/router/src/report.rs
+++ b/components/router/src/report.rs
@@ -1,14 +1,14 @@
-//! The log line of a request that has ended.
+//! Log lines on requests and upstreams.
 
 use clock::Millis;
 use routing::{Crash, Decision, Standing, Try};
 use spdlog::info;
 
-/// Logs what was decided on a request.
+/// Logs the decision on a completed request.
 pub(crate) fn ended(decision: &Decision, trace: &str) {
     let error: Option<&'static str> = decision.error.map(Into::into);
     let outcome: &'static str = decision.outcome.into();
-    let upstream = decision.tries.last().map_or("", |it| &it.upstream);
+    let upstream = decision.tries.last().map_or("", |attempt| &attempt.upstream);
     info!("request ended", kv: {
         request = &*decision.request,
         trace,
@@ -24,26 +24,31 @@
         detail = &*decision.detail,
         standing = standing(decision),
         attempts = decision.tries.len(),
-        passed = passed(decision),
+        passed = exclusion(decision),
         tries = tries(decision),
-        prompt = decision.shared.map_or_else(String::new, |it| format!("{:x}", it.hash)),
-        shared = decision.shared.map_or(0, |it| it.tokens),
-        first_ms = or_none(decision.answered.map(|it| decision.came.until(it).0)),
+        prompt = decision.shared.map_or_else(String::new, |prefix| format!("{:x}", prefix.hash)),
+        shared = decision.shared.map_or(0, |prefix| prefix.tokens),
+        first_ms = or_none(decision.answered.map(|answered| decision.came.until(answered).0)),
         pause_ms = decision.pause.0,
         ms = decision.came.until(decision.ended).0,
     });
 }
 
-/// Logs a request that was refused before it was decided on. `generation` is
-/// that of the configuration in force, `proof_ms` the age of its proof.
-pub(crate) fn refused(request: &str, error: &str, generation: u64, proof_ms: Option<u64>) {
-    info!("request refused", kv: { request, error, generation, proof_ms = or_none(proof_ms) });
+/// Logs a request that was refused before routing. `generation` is that of the configuration in
+/// force, `proof_ms` the time since it was last confirmed.
+pub(crate) fn refused(
+    request: &str,
+    error: &str,
+    generation: u64,
+    confirmation_age_ms: Option<u64>,
+) {
+    info!("request refused", kv: { request, error, generation, proof_ms = or_none(confirmation_age_ms) });
 }
 
-/// Logs that an upstream is left alone for `pause`; `reachable` says whether the last
-/// connection that was tried could be opened.
-pub(crate) fn suspected(upstream: &str, failures: u32, reachable: bool, pause: Millis) {
-    info!("upstream left alone", kv: { upstream, failures, reachable, ms = pause.0 });
+/// Logs that an upstream is avoided for `backoff`; `reachable` is whether the last connection
+/// attempt succeeded.
+pub(crate) fn suspected(upstream: &str, failures: u32, reachable: bool, backoff: Millis) {
+    info!("upstream left alone", kv: { upstream, failures, reachable, ms = backoff.0 });
 }
 
 /// Logs that an upstream answers again.
@@ -51,51 +56,55 @@
     info!("upstream answers again", kv: { upstream });
 }
 
-/// Logs that an upstream has asked to be sent nothing for `rest`.
-pub(crate) fn rests(upstream: &str, rest: Millis) {
-    info!("upstream asked for rest", kv: { upstream, ms = rest.0 });
+/// Logs that an upstream asked for a backoff.
+pub(crate) fn asked_for_backoff(upstream: &str, backoff: Millis) {
+    info!("upstream asked for backoff", kv: { upstream, ms = backoff.0 });
 }
 
-/// Logs that an upstream has said with an answer that it leaves.
-pub(crate) fn leaves(upstream: &str) {
-    info!("upstream says that it leaves", kv: { upstream });
+/// Logs that an upstream announced in an answer that it is leaving.
+pub(crate) fn leaving(upstream: &str) {
+    info!("upstream is leaving", kv: { upstream });
 }
 
-/// Logs that upstreams ended while they had requests of this router.
+/// Logs that an upstream crashed under requests of this router.
 pub(crate) fn crashed(crashes: &[Crash]) {
     let Some(first) = crashes.first() else { return };
-    let contents: Vec<_> = crashes.iter().map(|it| format!("{:016x}", it.fingerprint)).collect();
+    let contents: Vec<_> =
+        crashes.iter().map(|crash| format!("{:016x}", crash.fingerprint)).collect();
     let contents = contents.join(" ");
-    info!("upstream ended under work", kv: { upstream = &*first.upstream, contents });
+    info!("upstream crashed under requests", kv: { upstream = &*first.upstream, contents });
 }
 
-/// Logs that work is held back for `lasts`.
-pub(crate) fn held_back(content: u64, lasts: Millis) {
-    info!("work is held back", kv: { content = format!("{content:016x}"), ms = lasts.0 });
+/// Logs that work is quarantined for `duration`.
+pub(crate) fn quarantined(fingerprint: u64, duration: Millis) {
+    info!("work is quarantined", kv: { content = format!("{fingerprint:016x}"), ms = duration.0 });
 }
 
-/// Logs that work was answered in full and is not held back.
-pub(crate) fn cleared(content: u64) {
-    info!("work is cleared", kv: { content = format!("{content:016x}") });
+/// Logs that work was completed and is no longer quarantined.
+pub(crate) fn cleared(fingerprint: u64) {
+    info!("work is cleared", kv: { content = format!("{fingerprint:016x}") });
 }
 
 /// A number for the log, or the word `none`.
 fn or_none(number: Option<impl Into<u64>>) -> String {
-    number.map_or_else(|| "none".to_owned(), |it| it.into().to_string())
+    number.map_or_else(|| "none".to_owned(), |number| number.into().to_string())
 }
 
-/// The first upstream by rank that was passed over, and why; empty if none was.
-fn passed(decision: &Decision) -> String {
-    decision.passed.first().map_or_else(String::new, |it| format!("{}: {}", it.upstream, it.why))
+/// The first excluded upstream by rank, with the reason; empty if there is none.
+fn exclusion(decision: &Decision) -> String {
+    decision
+        .passed
+        .first()
+        .map_or_else(String::new, |exclusion| format!("{}: {}", exclusion.upstream, exclusion.why))
 }
 
-/// How the workspace of a request that was turned away stood to its share of the pool; empty
-/// for others.
+/// How the workspace of a refused request compares to its share of the pool; empty for other
+/// requests.
 fn standing(decision: &Decision) -> String {
-    let one = |it: Standing| {
-        let age = or_none(it.age_ms);
-        let (rank, times) = (it.rank.name(), it.rank.excess_ratio());
-        let Standing { share, demand, served, .. } = it;
+    let one = |standing: Standing| {
+        let age = or_none(standing.age_ms);
+        let (rank, times) = (standing.rank.name(), standing.rank.excess_ratio());
+        let Standing { share, demand, served, .. } = standing;
         format!(
             "{rank},times={times:.1},share={share:.1},demand={demand:.1},served={served:.1},age={age}"
         )
@@ -103,18 +112,17 @@
     decision.standing.map_or_else(String::new, one)
 }
 
-/// The attempts as one word each: where, when after the request came, the load
-/// believed to be there, what of it waits and for how long, the shared tokens to be read and copied, where from, and why
-/// it failed.
+/// One word per attempt: upstream, time since arrival, estimated load, queued requests and their
+/// wait, tokens to read and to copy, the upstream to copy from, and the error.
 fn tries(decision: &Decision) -> String {
-    let one = |it: &Try| {
-        let error: &'static str = it.error.map_or("ok", Into::into);
-        let warm = it.warm.as_deref().unwrap_or("-");
-        let (copied, read) = (it.copied, it.read);
-        let after = decision.came.until(it.sent).0;
+    let one = |attempt: &Try| {
+        let error: &'static str = attempt.error.map_or("ok", Into::into);
+        let warm = attempt.warm.as_deref().unwrap_or("-");
+        let (copied, read) = (attempt.copied, attempt.read);
+        let after = decision.came.until(attempt.sent).0;
         format!(
             "{}@{after}ms,load={},queued={},wait={},read={read},copied={copied},copy={warm},{error}",
-            it.upstream, it.load, it.queued, it.wait_ms
+            attempt.upstream, attempt.load, attempt.queued, attempt.wait_ms
         )
     };
     decision.tries.iter().map(one).collect::<Vec<_>>().join(" ")
--- a/components/router/src/server.rs
+++ b/components/router/src/server.rs
@@ -1,4 +1,4 @@
-//! The router as a whole: start, serve, stop.
+//! Starts, runs and stops a router.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -20,17 +20,16 @@
 /// How long a caller may take to send the headers.
 const HEADERS_TIMEOUT: Seconds = Seconds(5);
 
-/// The most headers of a request.
 const MAX_HEADERS: usize = 64;
 
-/// How long a stop waits for the last bytes to be written.
-const LAST_BYTES: Seconds = Seconds(2);
+/// How long a shutdown waits for the last bytes to be written.
+const FLUSH_TIMEOUT: Seconds = Seconds(2);
 
-/// How long a caller's idle connection is kept. Callers of the platform stop
-/// using one before the limit that the configuration sets, 15 s on its sites.
-const IDLE: Seconds = Seconds(30);
+/// How long an idle connection of a caller is kept. Longer than callers on a platform keep theirs,
+/// so that they are the ones to close it.
+const IDLE_TIMEOUT: Seconds = Seconds(30);
 
-/// A router that serves.
+/// A running router.
 #[derive(Debug)]
 pub struct Router {
     settings: Arc<settings::Router>,
@@ -45,25 +44,25 @@
     ///
     /// # Errors
     ///
-    /// The intents are wrong, or the address can't be listened on.
+    /// The intents are invalid, or listening on the address failed.
     pub fn start(settings: settings::Router) -> Result<Self, Error> {
         let plan = background::read_plan(&settings.intents)?;
         let settings = Arc::new(settings);
         let (listener, address) = process::bind(&settings.listen).context(BindSnafu)?;
         let stop = process::Stop::new();
         let reload = watch::Sender::new((*settings).clone());
-        let (shared, asked, changes) = (settings.clone(), stop.clone(), reload.subscribe());
+        let (shared, stop_handle, changes) = (settings.clone(), stop.clone(), reload.subscribe());
         let factory = async move || {
             let plan = Some(plan.clone());
             let (core, outbox) =
-                Core::new(shared.clone(), plan, None, asked.clone(), changes.clone()).await;
+                Core::new(shared.clone(), plan, None, stop_handle.clone(), changes.clone()).await;
             background::spawn(&core, outbox);
             web::App::new().state(core).configure(http::routes)
         };
         let server = web::HttpServer::new(factory)
             .workers(1)
             .disable_signals()
-            .shutdown_timeout(LAST_BYTES)
+            .shutdown_timeout(FLUSH_TIMEOUT)
             .config(SharedCfg::new("router").add(limits()))
             .listen(listener)
             .context(SocketSnafu)?
@@ -71,12 +70,12 @@
         Ok(Self { settings, address, server, stop, reload })
     }
 
-    /// Binds the sockets and starts to serve on a platform, whose store brings
-    /// the configuration and the upstreams.
+    /// Binds the sockets and starts to serve on a platform, whose store provides the configuration
+    /// and the upstreams.
     ///
     /// # Errors
     ///
-    /// An address can't be listened on.
+    /// Listening on an address failed.
     pub fn start_direct(
         settings: settings::Router,
         operators: &str,
@@ -97,23 +96,23 @@
         Ok(Self { settings, address, server, stop, reload })
     }
 
-    /// Where callers connect.
+    /// The address for callers.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The handle that asks for a planned stop.
+    /// The handle that requests a planned stop.
     pub fn stop(&self) -> process::Stop {
         self.stop.clone()
     }
 
-    /// What takes settings that were read again.
+    /// The channel for reloaded settings.
     pub fn reload(&self) -> watch::Sender<settings::Router> {
         self.reload.clone()
     }
 
-    /// Serves until a stop was asked for and nothing is in flight, or the
-    /// drain's time is over. Returns whether everything was finished.
+    /// Serves until a stop was requested and all requests have ended, or the drain timeout has
+    /// passed. Returns whether all requests were completed.
     pub async fn run(self) -> bool {
         self.stop.asked().await;
         let timeout = self.settings.drain_notice_ms + self.settings.drain_ms;
@@ -124,20 +123,21 @@
     }
 }
 
-/// The limits on what a caller sends.
+/// Limits on requests.
 fn limits() -> HttpServiceConfig {
     HttpServiceConfig::new().set_max_headers(MAX_HEADERS).set_client_timeout(HEADERS_TIMEOUT)
 }
 
-/// Serves callers and operators on one thread, with one state.
+/// Serves callers and operators on one thread with shared state.
 fn serve(shared: Shared, callers: TcpListener, operators: TcpListener) -> Result<Server, Error> {
     let (for_callers, for_operators) = (shared.clone(), shared);
-    let config: SharedCfg = SharedCfg::new("router").add(limits().set_keepalive(IDLE)).into();
+    let config: SharedCfg =
+        SharedCfg::new("router").add(limits().set_keepalive(IDLE_TIMEOUT)).into();
     let operators_config = config.clone();
     let server = ntex::server::build()
         .workers(1)
         .disable_signals()
-        .shutdown_timeout(LAST_BYTES)
+        .shutdown_timeout(FLUSH_TIMEOUT)
         .listen("callers", callers, async move |service| {
             service.config(config.clone());
             let core = for_callers.core().await;
@@ -148,8 +148,8 @@
             service.config(operators_config.clone());
             let core = for_operators.core().await;
             let ready = core.edges().ready_path;
-            let pages = move |config: &mut _| ingress::operators(config, ready);
-            HttpService::new(web::App::new().state(core).configure(pages))
+            let routes = move |config: &mut _| ingress::operators(config, ready);
+            HttpService::new(web::App::new().state(core).configure(routes))
         })
         .context(SocketSnafu)?;
     Ok(server.run())
--- a/components/router/src/shared.rs
+++ b/components/router/src/shared.rs
@@ -1,4 +1,4 @@
-//! The one state behind the two listeners of a router on a platform.
+//! State shared by the two listeners of a router on a platform.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -9,18 +9,18 @@
 use tokio::sync::{OnceCell, watch};
 
 use crate::background;
+use crate::clients::Clients;
 use crate::core::Core;
-use crate::reach::Direct;
 
-/// The pause before clients are made once more.
-const AGAIN: Duration = Duration::from_secs(1);
+/// The pause before another attempt to create the clients.
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 thread_local! {
-    /// The state that the two listeners of one thread share.
+    /// The state shared by the listeners of one thread.
     static CORE: Rc<OnceCell<Rc<Core>>> = Rc::new(OnceCell::new());
 }
 
-/// What both listeners need to make the shared state.
+/// The inputs to create the shared state.
 #[derive(Clone)]
 pub(crate) struct Shared {
     pub settings: Arc<settings::Router>,
@@ -30,31 +30,30 @@
 }
 
 impl Shared {
-    /// The state of this thread, made by the listener that comes first.
+    /// The state of this thread, created by the first listener.
     pub(crate) async fn core(&self) -> Rc<Core> {
         let cell = CORE.with(Rc::clone);
         cell.get_or_init(|| self.start()).await.clone()
     }
 
-    /// Makes the state and starts the tasks that keep it up to date.
+    /// Creates the state and spawns the background tasks.
     async fn start(&self) -> Rc<Core> {
-        let direct = self.direct().await;
+        let clients = self.clients().await;
         let (stop, reload) = (self.stop.clone(), self.reload.clone());
         let (core, outbox) =
-            Core::new(self.settings.clone(), None, Some(direct), stop, reload).await;
+            Core::new(self.settings.clone(), None, Some(clients), stop, reload).await;
         background::spawn(&core, outbox);
         core
     }
 
-    /// What reaches the platform and upstreams; it is tried until it can be made,
-    /// since nothing can be served without it.
-    async fn direct(&self) -> Direct {
+    /// Creates the clients; retries until it succeeds, since nothing can be served without them.
+    async fn clients(&self) -> Clients {
         loop {
-            match Direct::connect(&self.connect, &self.settings).await {
-                Ok(direct) => return direct,
-                Err(fault) => error!("no clients can be made", kv: { fault }),
+            match Clients::connect(&self.connect, &self.settings).await {
+                Ok(clients) => return clients,
+                Err(error) => error!("clients can't be created", kv: { fault = error }),
             }
-            tokio::time::sleep(AGAIN).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     }
 }
--- a/components/router/src/template.rs
+++ b/components/router/src/template.rs
@@ -1,11 +1,10 @@
-//! A request as every attempt sends it.
+//! The parts of a request that all attempts share.
 
 use std::sync::Arc;
 
 use bytes::Bytes;
 
-/// What every attempt sends of the request: to the sidecar, or straight to the
-/// upstream.
+/// What every attempt sends, to the sidecar or straight to the upstream.
 #[derive(Debug)]
 pub(crate) struct Template {
     pub method: Arc<str>,
@@ -14,16 +13,16 @@
     pub body: Bytes,
     /// The trace context that came with the request.
     pub traceparent: Option<Arc<str>>,
-    /// Whether the answer is a stream of events; of concern to direct sendings.
+    /// Whether the response is a stream of events; used by direct attempts only.
     pub events: bool,
     /// Whether the caller has no workspace of its own.
     pub anonymous: bool,
 }
 
 impl Template {
-    /// The hash of the work that `workspace` asks for: method, path and body. Headers are
-    /// left out, since some differ with each sending.
-    pub(crate) fn content(&self, workspace: &str) -> u64 {
+    /// The fingerprint of the work that `workspace` asks for: method, path and body. Headers are
+    /// excluded, since some differ with each attempt.
+    pub(crate) fn fingerprint(&self, workspace: &str) -> u64 {
         placement::digest(&[
             workspace.as_bytes(),
             self.method.as_bytes(),
@@ -32,8 +31,8 @@
         ])
     }
 
-    /// Says that the body is JSON, whatever the caller said: it was read as such.
-    pub(crate) fn say_json(&mut self) {
+    /// Sets the content type to JSON, as which the body was parsed.
+    pub(crate) fn set_json_content_type(&mut self) {
         self.headers.retain(|(name, _)| &**name != "content-type");
         self.headers.push(("content-type".into(), "application/json".into()));
     }
--- a/tests/platform/configuration.rs
+++ b/tests/platform/configuration.rs
@@ -46,7 +46,7 @@
     router.store.put(&two.key(), &two.entry("ready", 1));
     let changes = || router.log().iter().any(|it| it["kv"]["upstreams"] == 2);
     router.until("seen", changes);
-    assert!(!router.has_logged("looks at the store ask for less"));
+    assert!(!router.has_logged("store polls are reduced"));
 }
 
 #[test]
--- a/tests/platform/crashing.rs
+++ b/tests/platform/crashing.rs
@@ -160,7 +160,7 @@
     end_one(&router, "front-1", 1);
     router.store.set_mode(Mode::Busy);
     send(&router, "stream", FATAL, 2);
-    router.until("noticed", || router.has_logged("ends of upstreams not told"));
+    router.until("noticed", || router.has_logged("crash report not written"));
     router.store.set_mode(Mode::Up);
     router.until("told", || told(&router, "front-1") == 2);
 }
@@ -168,7 +168,7 @@
 #[test]
 fn ends_that_a_router_could_not_tell_the_store_outlast_its_stop() {
     // A router that knew of two ends was stopped while the store said nothing: "upstream ended
-    // under work" twice, "ends of upstreams not told", "router stopped". The fatal work then ended
+    // under work" twice, "crash report not written", "router stopped". The fatal work then ended
     // four more, as all others counted anew.
     let engines = engines(12);
     let mut first = Router::start(&configuration(1), &engines.iter().collect::<Vec<_>>());
@@ -178,15 +178,16 @@
     for number in 0..2 {
         send(&first, "stream", FATAL, number);
     }
-    first
-        .until("known", || arrived(&engines) == 2 && first.has_logged("upstream ended under work"));
-    first.until("not told", || first.has_logged("ends of upstreams not told"));
+    first.until("known", || {
+        arrived(&engines) == 2 && first.has_logged("upstream crashed under requests")
+    });
+    first.until("not told", || first.has_logged("crash report not written"));
     first.signal(nix::sys::signal::Signal::SIGTERM);
     first.ended();
     first.store.set_mode(Mode::Up);
     second.until("ready again", || second.is_ready());
     send(&second, "stream", FATAL, 2);
-    second.until("held back", || second.has_logged("work is held back"));
+    second.until("held back", || second.has_logged("work is quarantined"));
     is_held_back(&[&second], &engines, "stream");
     assert_eq!(arrived(&engines), 3);
 }
@@ -198,8 +199,8 @@
     router.shorten_looks();
     let ends = |name: &str| serde_json::json!({ "content": 7, "upstream": name, "born": 0, "at": 9_000_000_000_000_u64 });
     router.store.put(&key("front-2"), &serde_json::json!([ends("a"), ends("b"), ends("c")]));
-    router.until("held back", || router.has_logged("work is held back"));
-    assert!(!router.has_logged("looks at the store ask for all again"));
+    router.until("held back", || router.has_logged("work is quarantined"));
+    assert!(!router.has_logged("store polls are complete again"));
 }
 
 #[test]
@@ -230,7 +231,7 @@
     router.until("served", || {
         send(&router, "stream", "work", 9).is_some_and(|it| it.status == 200 && it.whole)
     });
-    assert!(!router.has_logged("upstream ended under work"));
+    assert!(!router.has_logged("upstream crashed under requests"));
 }
 
 #[test]
--- a/tests/platform/evacuation.rs
+++ b/tests/platform/evacuation.rs
@@ -41,13 +41,13 @@
     let (router, left, stays) = two_domains();
     assert!(go_to(&router, &left) > 0);
     router.store.put("op/evacuate/zone-a", &json!({}));
-    router.until("left", || router.has_logged("failure domain left"));
+    router.until("left", || router.has_logged("failure domain evacuated"));
     assert_eq!((go_to(&router, &left), go_to(&router, &stays)), (0, 10));
     assert!(router.page("/status").contains(r#""evacuated":["zone-a"]"#));
     assert!(router.page("/metrics").contains(r#"silverstack_beliefs_total{kind="domain_left"} 1"#));
     router.store.remove("op/evacuate/zone-a");
     router.until("taken back", || go_to(&router, &left) > 0);
-    assert!(router.has_logged("failure domain taken back"));
+    assert!(router.has_logged("failure domain restored"));
 }
 
 #[test]
@@ -87,11 +87,11 @@
     let (router, left, _stays) = two_domains();
     router.shorten_looks();
     router.store.put("op/evacuate/zone-a", &json!({}));
-    router.until("left", || router.has_logged("failure domain left"));
-    assert!(!router.has_logged("looks at the store ask for all again"));
+    router.until("left", || router.has_logged("failure domain evacuated"));
+    assert!(!router.has_logged("store polls are complete again"));
     assert_eq!(go_to(&router, &left), 0);
     router.store.remove("op/evacuate/zone-a");
-    router.until("taken back", || router.has_logged("failure domain taken back"));
+    router.until("taken back", || router.has_logged("failure domain restored"));
 }
 
 #[test]
--- a/tests/platform/fleet.rs
+++ b/tests/platform/fleet.rs
@@ -52,7 +52,7 @@
 
 /// From whom a router heard last.
 fn hears_from(router: &Router) -> String {
-    let told = "hears of the store from another source";
+    let told = "store source changed";
     let last = router.log().into_iter().rfind(|it| it["payload"] == told);
     let from = last.and_then(|it| it["kv"]["from"].as_str().map(str::to_owned));
     // A router that has only ever looked at the store does not say so.
@@ -61,7 +61,7 @@
 
 /// How often a router has looked at the store in place of hearing from another.
 fn looks(router: &Router) -> usize {
-    let told = "hears of the store from another source";
+    let told = "store source changed";
     let is_look = |it: &&Value| it["payload"] == told && it["kv"]["from"] == "the store";
     router.log().iter().filter(is_look).count()
 }
--- a/tests/platform/hints.rs
+++ b/tests/platform/hints.rs
@@ -59,7 +59,7 @@
     tell(b"");
     tell(&[0xff; 1_400]);
     tell(&wire::encode(&Frame::WarmPrefixes(read)).expect("a frame"));
-    router.until("told", || router.has_logged("routers told of warm parts"));
+    router.until("told", || router.has_logged("warm prefixes received"));
     assert!(ask("aa:9,bb:9,dd:1").whole);
 }
 
--- a/tests/platform/rest.rs
+++ b/tests/platform/rest.rs
@@ -87,7 +87,7 @@
         send(&router, "GET /safe/x");
         resting.requests().len() > before
     });
-    assert!(router.has_logged("upstream asked for rest"));
+    assert!(router.has_logged("upstream asked for backoff"));
 }
 
 #[test]
--- a/tests/platform/router.rs
+++ b/tests/platform/router.rs
@@ -216,7 +216,7 @@
             self.store.put("op/config", &long);
         }
         self.store.set_mode(Mode::Up);
-        self.until("noticed", || self.has_logged("looks at the store ask for less"));
+        self.until("noticed", || self.has_logged("store polls are reduced"));
         long
     }
 
