--- a/components/router/src/announcement.rs
+++ b/components/router/src/announcement.rs
@@ -31,7 +31,7 @@
     lease: Lease,
     announcement: Announcement,
     renewed_at: Millis,
-    written_at: Millis,
+    updated_at: Millis,
 }
 
 /// Keeps this router announced while it polls the store, and withdraws the announcement on
@@ -100,7 +100,7 @@
         None => (store.grant_lease(LEASE_TTL).await?, now),
     };
     store.announce(announcement.clone(), lease).await?;
-    *written = Some(Written { lease, announcement, renewed_at, written_at: now });
+    *written = Some(Written { lease, announcement, renewed_at, updated_at: now });
     Ok(())
 }
 
@@ -111,5 +111,5 @@
         .iter()
         .any(|subscriber| !core.fleet().roster().is_listed(&subscriber.name));
     let has_changed = written.announcement != *announcement;
-    !is_unlisted && (!has_changed || written.written_at.until(now) < SOURCE_CHANGE_INTERVAL)
+    !is_unlisted && (!has_changed || written.updated_at.until(now) < SOURCE_CHANGE_INTERVAL)
 }
--- a/components/router/src/feed/query.rs
+++ b/components/router/src/feed/query.rs
@@ -21,23 +21,21 @@
     /// Queries another router for changes; returns the pause until the next step.
     pub(super) async fn query(&mut self, peer: &Peer, sent_at: Millis) -> Millis {
         let fleet = self.core.fleet();
-        let proof_ms = self.core.confirmation_age_ms();
+        let confirmation_age_ms = self.core.confirmation_age_ms();
         // A poller polls the store again soon.
-        let confirmation_age = proof_ms.map(Millis).filter(|_| !fleet.is_poller());
+        let confirmation_age = confirmation_age_ms.map(Millis).filter(|_| !fleet.is_poller());
         let left = self.listing.next_expiry().map(|at| sent_at.until(at));
         let wait = self.freshness.wait(confirmation_age, left);
         let query = wire::Query {
             routers: fleet.self_and_subscribers(sent_at),
             after: self.revision.map(query_client::to_wire),
-            confirmation_age_ms: proof_ms,
+            confirmation_age_ms,
             wait_ms: wait.0,
         };
         let answer = self.core.query_client.query(peer, query).await;
         let now = self.core.clock.now();
         match answer {
-            Ok(Answer::Changes(changes, facts, packed)) => {
-                self.apply_changes(peer, changes, facts, packed, sent_at)
-            }
+            Ok(Answer::Changes(head, facts, raw)) => self.apply(peer, head, facts, raw, sent_at),
             Ok(Answer::Referral(others)) => {
                 debug!("query referred to other routers", kv: { peer = &*peer.name, others = others.len() });
                 self.core.fleet().sources().record_referral(&peer.name, others, now);
@@ -52,29 +50,29 @@
     }
 
     /// Applies the answer of another router to a query sent at `sent_at`.
-    fn apply_changes(
+    fn apply(
         &mut self,
         peer: &Peer,
-        changes: wire::Changes,
+        head: wire::Changes,
         facts: Vec<Fact>,
-        packed: Bytes,
+        raw: Bytes,
         sent_at: Millis,
     ) {
         let now = self.core.clock.now();
-        let revision = query_server::from_wire(changes.revision);
-        if !self.is_acceptable(revision, changes.full) {
+        let revision = query_server::from_wire(head.revision);
+        if !self.is_acceptable(revision, head.full) {
             return self.core.fleet().sources().record_stale(&peer.name, now);
         }
         let is_first = self.revision.is_none();
-        let bytes = packed.len();
-        self.apply_answer(Batch { facts, revision, bytes, ..Batch::default() }, changes.full);
+        let bytes = raw.len();
+        self.apply_answer(Batch { facts, revision, bytes, ..Batch::default() }, head.full);
         if is_first {
-            self.core.fleet().cache_packed(packed, now);
+            self.core.fleet().cache_packed(raw, now);
         }
         // The query arrived after `sent_at`, and the answer began `waited_ms` later.
-        let confirmed_at = changes
+        let confirmed_at = head
             .confirmation_age_ms
-            .map(|age_ms| sent_at + Millis(changes.waited_ms) - Millis(age_ms) - ROUNDING_MARGIN);
+            .map(|age_ms| sent_at + Millis(head.waited_ms) - Millis(age_ms) - ROUNDING_MARGIN);
         if let Some(at) = confirmed_at.filter(|_| self.confirms()) {
             self.core.apply(Event::ConfigurationConfirmed { at });
             // The answer covers the outage, so no full read is needed.
--- a/components/router/src/permits.rs
+++ b/components/router/src/permits.rs
@@ -136,19 +136,17 @@
     }
 
     /// Handles the start, renewal or end of a saturation.
-    pub(crate) fn receive_saturation(&self, core: &Core, saturation: &Saturated) {
-        let is_owner = saturation.owner == self.owner(core, &saturation.pool).name;
+    pub(crate) fn receive_saturation(&self, core: &Core, report: &Saturated) {
+        let is_owner = report.owner == self.owner(core, &report.pool).name;
         // A former owner must not end a saturation that its successor continues.
-        if saturation.ttl_ms == 0 && !is_owner {
+        if report.ttl_ms == 0 && !is_owner {
             return;
         }
         if is_owner {
-            self.requester(core, &saturation.pool, |requester| {
-                requester.receive_saturation(saturation)
-            });
+            self.requester(core, &report.pool, |requester| requester.receive_saturation(report));
         }
-        let duration = Millis(u64::from(saturation.ttl_ms)).min(SATURATION_TTL);
-        core.apply(Event::Saturated { pool: saturation.pool.clone(), duration });
+        let duration = Millis(u64::from(report.ttl_ms)).min(SATURATION_TTL);
+        core.apply(Event::Saturated { pool: report.pool.clone(), duration });
     }
 
     /// A snapshot of the pools owned by this router, for `/status`.
