--- a/components/router/src/feed/query.rs
+++ b/components/router/src/feed/query.rs
@@ -37,7 +37,9 @@
         match answer {
             Ok(Answer::Changes(head, facts, raw)) => self.apply(peer, head, facts, raw, sent_at),
             Ok(Answer::Referral(others)) => {
-                debug!("query referred to other routers", kv: { peer = &*peer.name, others = others.len() });
+                debug!("query referred to other routers", kv: {
+                    peer = &*peer.name, others = others.len(),
+                });
                 self.core.fleet().sources().record_referral(&peer.name, others, now);
             }
             Err(error) => {
--- a/components/router/src/fleet.rs
+++ b/components/router/src/fleet.rs
@@ -231,7 +231,8 @@
     /// This router's own announcement, if it polls the store and `facts` lack it. Subscribers would
     /// take this router to be gone otherwise.
     fn own_announcement(&self, facts: &[Fact], now: Millis) -> Option<Fact> {
-        let is_own = |fact: &Fact| matches!(fact, Fact::Router(announcement) if announcement.router.name == self.own.name);
+        let is_own =
+            |fact: &Fact| matches!(fact, Fact::Router(known) if known.router.name == self.own.name);
         let is_missing = self.is_poller() && !facts.iter().any(is_own);
         is_missing.then(|| Fact::Router(self.announcement(now)))
     }
--- a/components/router/src/hints.rs
+++ b/components/router/src/hints.rs
@@ -231,7 +231,10 @@
 /// its crashes.
 fn receive_cleared(core: &Core, fingerprints: &[u64], from: SocketAddr) {
     let at = core.clock.now();
-    info!("another router cleared work", kv: { works = fingerprints.len(), from = from.to_string() });
+    info!("another router cleared work", kv: {
+        works = fingerprints.len(),
+        from = from.to_string(),
+    });
     core.crashes.withdraw(fingerprints);
     core.apply(Event::Crashes(
         fingerprints.iter().map(|fingerprint| Crash::cleared(*fingerprint, at)).collect(),
--- a/components/router/src/permits.rs
+++ b/components/router/src/permits.rs
@@ -362,13 +362,15 @@
         ClaimState::Granted(upstream) => {
             core.metrics.belief("place_granted");
             info!("permit granted", kv: {
-                pool = &**pool, router, number = decision.number, workspace, upstream = &**upstream, waited_ms,
+                pool = &**pool, router, number = decision.number, workspace,
+                upstream = &**upstream, waited_ms,
             });
         }
         ClaimState::Refused(back_ms) => {
             core.metrics.belief("place_refused");
             info!("permit refused", kv: {
-                pool = &**pool, router, number = decision.number, workspace, waited_ms, back_ms = *back_ms,
+                pool = &**pool, router, number = decision.number, workspace,
+                waited_ms, back_ms = *back_ms,
             });
         }
         ClaimState::Queued => {}
--- a/components/router/src/query_server.rs
+++ b/components/router/src/query_server.rs
@@ -45,7 +45,9 @@
                 connections.spawn_local(serve_connection(core.clone(), socket));
             }
             Err(error) => {
-                debug!("connection of another router not accepted", kv: { fault = error.to_string() });
+                debug!("connection of another router not accepted", kv: {
+                    fault = error.to_string(),
+                });
                 tokio::time::sleep(MIN_CONFIRMATION_GAIN.duration()).await;
             }
         }
--- a/components/router/src/report.rs
+++ b/components/router/src/report.rs
@@ -42,7 +42,9 @@
     generation: u64,
     confirmation_age_ms: Option<u64>,
 ) {
-    info!("request refused", kv: { request, error, generation, proof_ms = or_none(confirmation_age_ms) });
+    info!("request refused", kv: {
+        request, error, generation, proof_ms = or_none(confirmation_age_ms),
+    });
 }
 
 /// Logs that an upstream is avoided for `backoff`; `reachable` is whether the last connection
