--- a/components/router/src/core.rs
+++ b/components/router/src/core.rs
@@ -178,8 +178,8 @@
                 self.crashes.clear(clearing);
                 false
             }
-            Effect::Release { pool, number, end, elapsed: took } => {
-                self.permits.release(self, pool, *number, *end, *took);
+            Effect::Release { pool, number, end, elapsed } => {
+                self.permits.release(self, pool, *number, *end, *elapsed);
                 false
             }
             Effect::ReportSaturation { pool } => {
--- a/components/router/src/direct.rs
+++ b/components/router/src/direct.rs
@@ -180,11 +180,11 @@
             }
             self.core.apply(Event::Load { upstream, requests, waiting });
         }
-        if let Some(left) = feedback.cold {
-            self.core.apply(Event::Cold { upstream: self.upstream.clone(), remaining: left });
+        if let Some(remaining) = feedback.cold {
+            self.core.apply(Event::Cold { upstream: self.upstream.clone(), remaining });
         }
-        if let Some(lasts) = feedback.backoff {
-            self.core.apply(Event::Backoff { upstream: self.upstream.clone(), duration: lasts });
+        if let Some(duration) = feedback.backoff {
+            self.core.apply(Event::Backoff { upstream: self.upstream.clone(), duration });
         }
         if feedback.leaving {
             self.core.apply(Event::Leaving { upstream: self.upstream.clone() });
--- a/components/router/src/fleet.rs
+++ b/components/router/src/fleet.rs
@@ -94,9 +94,9 @@
         became_poller
     }
 
-    /// Records a failure of the store, which may be polled again after `pause`.
-    pub(crate) fn record_store_failure(&self, pause: Millis, now: Millis) {
-        self.sources.borrow_mut().record_store_failure(pause, &mut self.roster.borrow_mut(), now);
+    /// Records a failure of the store, which may be polled again after `backoff`.
+    pub(crate) fn record_store_failure(&self, backoff: Millis, now: Millis) {
+        self.sources.borrow_mut().record_store_failure(backoff, &mut self.roster.borrow_mut(), now);
     }
 
     /// The announced routers.
--- a/components/router/src/hints.rs
+++ b/components/router/src/hints.rs
@@ -196,7 +196,7 @@
         Frame::Cleared(fingerprints) => receive_cleared(core, &fingerprints, from),
         Frame::Claims(claims) => core.permits.receive_claims(core, &claims, from),
         Frame::Verdicts(verdicts) => core.permits.receive_verdicts(core, &verdicts),
-        Frame::Saturated(short) => core.permits.receive_saturation(core, &short),
+        Frame::Saturated(report) => core.permits.receive_saturation(core, &report),
         _ => debug!("unexpected datagram", kv: { from = from.to_string() }),
     }
 }
--- a/components/router/src/http.rs
+++ b/components/router/src/http.rs
@@ -171,8 +171,9 @@
         return caller.refuse(&core, Kind::Malformed, "Idempotency-Key: 1 to 200 bytes");
     }
     let kind = request.match_info().get("kind").unwrap_or("").to_owned();
-    let once = key.map(|key| key::parse(&caller.workspace, key));
-    let chat = once.as_ref().map_or_else(|| caller.request.clone(), |once| once.key.clone());
+    let idempotency_key = key.map(|key| key::parse(&caller.workspace, key));
+    let chat =
+        idempotency_key.as_ref().map_or_else(|| caller.request.clone(), |key| key.key.clone());
     let template = template(&request, service_path(&request, &kind), body);
     let arrival = Arrival {
         id: caller.id,
@@ -182,7 +183,7 @@
         kind: kind.as_str().into(),
         model: None,
         chat,
-        idempotency_key: once,
+        idempotency_key,
         prefixes: Vec::new(),
         weight: PLAIN_WEIGHT,
         deadline: deadline(&request),
--- a/components/router/src/ingress.rs
+++ b/components/router/src/ingress.rs
@@ -164,11 +164,11 @@
         let parts = stream::unfold(Some((Box::new(relay), connection)), next_part);
         return builder.streaming(Box::pin(parts));
     }
-    let mut whole = Vec::new();
+    let mut body = Vec::new();
     loop {
         match relay.next().await {
-            Step::Bytes(bytes) => whole.extend_from_slice(&bytes),
-            Step::Finished => return builder.body(whole),
+            Step::Bytes(bytes) => body.extend_from_slice(&bytes),
+            Step::Finished => return builder.body(body),
             Step::Failed(answer) | Step::Aborted(answer) => return failure(core, &answer),
             Step::Head(..) => {}
         }
--- a/components/router/src/permits.rs
+++ b/components/router/src/permits.rs
@@ -106,10 +106,10 @@
         pool: &Arc<str>,
         number: u64,
         end: Finish,
-        took: Millis,
+        elapsed: Millis,
     ) {
         self.waiting.borrow_mut().remove(&number);
-        self.requester(core, pool, |requester| requester.release(number, end, took));
+        self.requester(core, pool, |requester| requester.release(number, end, elapsed));
         self.wake.notify_one();
     }
 
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -171,7 +171,7 @@
             Effect::Claim { pool, claim } => self.claim(&pool, claim).await,
             Effect::UpdateDirectory { .. } => self.core.queue_update(effect),
             Effect::CloseIdle { address } => self.core.client().forget(&address),
-            Effect::Wait(pause) => self.backoff_until = Some(Instant::now() + pause.duration()),
+            Effect::Wait(backoff) => self.backoff_until = Some(Instant::now() + backoff.duration()),
             Effect::Record(_)
             | Effect::Connect { .. }
             | Effect::PublishPrefixes(_)
@@ -309,8 +309,8 @@
     /// Waits for the next frame, the loss of the link, the timeout or the deadline.
     async fn wait(&mut self) {
         let (id, attempt) = (self.id, self.attempt);
-        if let Some(pause) = self.backoff_until.take() {
-            tokio::time::sleep_until(pause).await;
+        if let Some(until) = self.backoff_until.take() {
+            tokio::time::sleep_until(until).await;
             return self.apply(Event::WaitElapsed { id });
         }
         let Some(call) = &mut self.call else {
