--- a/components/routing/src/admission/shares.rs
+++ b/components/routing/src/admission/shares.rs
@@ -178,8 +178,8 @@
     /// Demand on saturated pools, to publish under this router's name.
     pub fn demands(&self, router: &Arc<str>, now: Millis) -> Vec<Demands> {
         let demands = |(pool, shares): (&Arc<str>, &Pool)| {
-            let word = shares.summarize(now)?;
-            Some(Demands { router: router.clone(), pool: pool.clone(), summary: word })
+            let summary = shares.summarize(now)?;
+            Some(Demands { router: router.clone(), pool: pool.clone(), summary })
         };
         self.shares.pools.iter().filter_map(demands).collect()
     }
--- a/components/routing/src/effect.rs
+++ b/components/routing/src/effect.rs
@@ -127,7 +127,7 @@
         /// How long the attempt took at the upstream.
         elapsed: Millis,
     },
-    /// Tell the pool's owner that the pool is saturated.
+    /// Report to the pool's owner that the pool is saturated.
     ReportSaturation {
         /// Name of the pool.
         pool: Arc<str>,
--- a/components/routing/src/requests/dispatch.rs
+++ b/components/routing/src/requests/dispatch.rs
@@ -28,8 +28,8 @@
             return self.fail(id, Kind::HeldBack, left.0, "", now);
         }
         let Some(upstream) = self.next_candidate(id, now) else {
-            let passed = self.requests.get(&id).and_then(|request| request.exclusions.first());
-            let detail = passed.map_or("", |exclusion| exclusion.why);
+            let exclusion = self.requests.get(&id).and_then(|request| request.exclusions.first());
+            let detail = exclusion.map_or("", |exclusion| exclusion.why);
             let kind = if detail == OVER_BOUND { Kind::OverBound } else { Kind::NoUpstream };
             let after = self.retry_delay_ms(id, detail, now);
             return self.fail(id, kind, after, detail, now);
@@ -52,12 +52,12 @@
         let pool = self.requests.get(&id).map(|request| request.pool.clone()).unwrap_or_default();
         match why {
             COLD => {
-                let soonest = self.available_in(&pool, now).unwrap_or_default();
-                self.flows.entry(pool).or_default().book(millis_to_f64(soonest), 1.0, now)
+                let earliest = self.available_in(&pool, now).unwrap_or_default();
+                self.flows.entry(pool).or_default().book(millis_to_f64(earliest), 1.0, now)
             }
             BACKING_OFF => {
-                let soonest = self.available_in(&pool, now).unwrap_or_default();
-                soonest.0 + self.rng.random_range(0..RETRY_SPREAD.0)
+                let earliest = self.available_in(&pool, now).unwrap_or_default();
+                earliest.0 + self.rng.random_range(0..RETRY_SPREAD.0)
             }
             EVACUATED => self.settings.evacuated_retry_after_ms,
             _ => 0,
--- a/components/routing/src/selection/candidates.rs
+++ b/components/routing/src/selection/candidates.rs
@@ -91,8 +91,7 @@
             estimate,
         );
         if let Some(home) = home.filter(|_| settings.policy == Policy::Directory) {
-            // The home comes first even if it seems full, because it knows where the chat's context
-            // is.
+            // The home comes first even if it seems full, because it has the chat's directory entry.
             best.retain(|upstream| upstream.name() != home.name());
             best.insert(0, home);
         }
--- a/components/routing/src/settings.rs
+++ b/components/routing/src/settings.rs
@@ -35,7 +35,7 @@
     /// Enabled mechanisms.
     pub mechanisms: Mechanisms,
     /// Maximum age of the confirmation that the configuration is the newest, in milliseconds;
-    /// requests with a key are refused beyond it. Zero disables the check.
+    /// authenticated requests are refused beyond it. Zero disables the check.
     pub current_ms: u64,
     /// The same for readiness: beyond it, callers should go to a router with a newer confirmation.
     pub ready_ms: u64,
--- a/components/routing/tests/direct/refusals.rs
+++ b/components/routing/tests/direct/refusals.rs
@@ -1,7 +1,7 @@
 //! Upstreams that refuse requests without asking for a pause.
 //!
 //! A refused request adds no load, so that such upstreams look idle and would attract most of the
-//! requests. Upstreams that ask for a pause are tested in `notices`.
+//! requests.
 
 use std::sync::Arc;
 
--- a/components/routing/tests/direct/shares.rs
+++ b/components/routing/tests/direct/shares.rs
@@ -193,15 +193,15 @@
         let workspace = placement::digest(&[workspace.as_bytes()]);
         shares::Demand { workspace, priority: 5, requested: asked, served }
     };
-    let lines = vec![demand("hot", 2_000, 1_000), demand("a", 500, 200), demand("b", 500, 200)];
-    let word = shares::Summary {
+    let entries = vec![demand("hot", 2_000, 1_000), demand("a", 500, 200), demand("b", 500, 200)];
+    let summary = shares::Summary {
         at: NOW,
         saturated: true,
         starving,
-        demands: lines,
+        demands: entries,
         ..Default::default()
     };
-    let demands = Demands { router: "front-2".into(), pool: "engine".into(), summary: word };
+    let demands = Demands { router: "front-2".into(), pool: "engine".into(), summary };
     state.apply(Event::Demands(demands), NOW);
     state
 }
@@ -283,13 +283,13 @@
         let demand = |(workspace, asked, served): (u64, u32, u32)| shares::Demand {
             workspace, priority: 5, requested: asked, served: served.min(asked),
         };
-        let lines: Vec<_> = reported.into_iter().map(demand).collect();
+        let entries: Vec<_> = reported.into_iter().map(demand).collect();
         let decide = |mechanisms| {
             let mut state = router_with_waits(mechanisms);
             report_waiting(&mut state, FULL);
             refused(&mut state, 100..100 + hot, "hot");
-            let word = shares::Summary { at: NOW, saturated: true, demands: lines.clone(), ..Default::default() };
-            let demands = Demands { router: "front-2".into(), pool: "engine".into(), summary: word };
+            let summary = shares::Summary { at: NOW, saturated: true, demands: entries.clone(), ..Default::default() };
+            let demands = Demands { router: "front-2".into(), pool: "engine".into(), summary };
             state.apply(Event::Demands(demands), LATER);
             report_waiting(&mut state, waiting);
             sent_to(&state.apply(asked(1, "small"), LATER))
