--- a/components/intents/src/matches.rs
+++ b/components/intents/src/matches.rs
@@ -34,7 +34,7 @@
             }
             let selected = workspaces.iter().enumerate();
             for (workspace, _) in
-                selected.filter(|(_, labels)| Selector::all(&intent.workspaces, labels))
+                selected.filter(|(_, labels)| Selector::all_match(&intent.workspaces, labels))
             {
                 for kind in &fitting {
                     matches.selective.entry((workspace, *kind)).or_default().push(place);
@@ -74,7 +74,7 @@
             let kinds = self.document.kinds.iter();
             self.labels = kinds.map(|it| named(&it.name, &it.labels)).collect();
         }
-        let fits = |it: &usize| Selector::all(&intent.kinds, &self.labels[*it]);
+        let fits = |it: &usize| Selector::all_match(&intent.kinds, &self.labels[*it]);
         (0..self.labels.len()).filter(fits).collect()
     }
 }
--- a/components/intents/src/plan.rs
+++ b/components/intents/src/plan.rs
@@ -43,7 +43,7 @@
     /// The priority of the workspace, else of the intent.
     pub priority: i32,
     /// Which upstreams the workspace's work may go to, beside what the intent says.
-    pub homes: &'a [Selector],
+    pub workspace_upstreams: &'a [Selector],
 }
 
 /// Why no intent decided.
@@ -100,24 +100,24 @@
 
     /// The workspace that holds `key`. The look-up is by digest, so that its
     /// time tells nothing about keys.
-    pub fn holder(&self, key: &str) -> Option<&Arc<str>> {
+    pub fn workspace_by_key(&self, key: &str) -> Option<&Arc<str>> {
         let place = self.keys.get(digest(key).as_str())?;
         Some(&self.document.workspaces[*place].name)
     }
 
     /// The workspace of callers without a key: the first that has none.
-    pub fn anonymous(&self) -> Option<&Arc<str>> {
+    pub fn anonymous_workspace(&self) -> Option<&Arc<str>> {
         let keyless = |it: &&Workspace| it.key_sha256.is_empty();
         self.document.workspaces.iter().find(keyless).map(|it| &it.name)
     }
 
     /// Whether the document names `model`.
-    pub fn offers(&self, model: &str) -> bool {
+    pub fn has_model(&self, model: &str) -> bool {
         self.models.contains(model)
     }
 
     /// The kind of request at `path` of `host`: the one with the longest prefix.
-    pub fn locate(&self, host: &str, path: &str) -> Option<&Kind> {
+    pub fn match_path(&self, host: &str, path: &str) -> Option<&Kind> {
         let prefixes = self.paths.get(host)?;
         let (_, place) = prefixes.iter().find(|(prefix, _)| path.starts_with(&**prefix))?;
         Some(&self.document.kinds[*place])
@@ -143,8 +143,8 @@
         let intent = self.decides(place, kind, model)?;
         let kind = &self.document.kinds[kind];
         let priority = workspace.priority.unwrap_or(intent.priority);
-        let homes = &workspace.upstreams;
-        Ok(Target { intent, repeatable: kind.repeatable, kind, priority, homes })
+        let workspace_upstreams = &workspace.upstreams;
+        Ok(Target { intent, repeatable: kind.repeatable, kind, priority, workspace_upstreams })
     }
 
     /// The intent of the highest rank that matches a workspace and a kind, by their places.
@@ -180,12 +180,18 @@
 impl Intent {
     /// Whether an upstream with `labels` in `domain` may take a request for
     /// `model` under this intent.
-    pub fn fits(&self, labels: &Labels, domain: &str, model: Option<&str>) -> bool {
-        self.serves(labels, domain, model) && Selector::all(&self.upstreams, labels)
+    pub fn matches_upstream(&self, labels: &Labels, domain: &str, model: Option<&str>) -> bool {
+        self.matches_model_and_domain(labels, domain, model)
+            && Selector::all_match(&self.upstreams, labels)
     }
 
     /// The same, but for the intent's own selectors of upstreams.
-    pub fn serves(&self, labels: &Labels, domain: &str, model: Option<&str>) -> bool {
+    pub fn matches_model_and_domain(
+        &self,
+        labels: &Labels,
+        domain: &str,
+        model: Option<&str>,
+    ) -> bool {
         let served = labels.get(MODEL).map(AsRef::as_ref);
         (model.is_none() || served == model)
             && (self.domains.is_empty() || self.domains.iter().any(|it| &**it == domain))
--- a/components/intents/src/selector.rs
+++ b/components/intents/src/selector.rs
@@ -52,7 +52,7 @@
     }
 
     /// Whether `labels` meet every one of `selectors`.
-    pub fn all(selectors: &[Self], labels: &Labels) -> bool {
+    pub fn all_match(selectors: &[Self], labels: &Labels) -> bool {
         selectors.iter().all(|selector| selector.matches(labels))
     }
 }
--- a/components/router/src/feed.rs
+++ b/components/router/src/feed.rs
@@ -48,7 +48,8 @@
 
 /// Follows the store until shutdown.
 pub(crate) async fn run(core: Rc<Core>, interval: Millis, saver: Saver) {
-    let validity = core.settings.direct.as_ref().map_or(interval, |direct| Millis(direct.news_ms));
+    let validity =
+        core.settings.direct.as_ref().map_or(interval, |direct| Millis(direct.confirmation_ttl_ms));
     let mut feed = Feed {
         core,
         freshness: Freshness::new(validity),
--- a/components/router/src/target.rs
+++ b/components/router/src/target.rs
@@ -35,15 +35,15 @@
         let plan = core.plan().ok_or(Kind::NoConfiguration)?;
         let unknown = |kind| if core.is_authoritative() { kind } else { Kind::StaleConfiguration };
         let host = host(request);
-        let kind = plan.locate(&host, request.path()).ok_or(Kind::NotFound).map_err(unknown)?;
-        let holder = metadata.key.as_deref().and_then(|key| plan.holder(key));
+        let kind = plan.match_path(&host, request.path()).ok_or(Kind::NotFound).map_err(unknown)?;
+        let holder = metadata.key.as_deref().and_then(|key| plan.workspace_by_key(key));
         let caller = match holder {
             Some(workspace) => Some(workspace),
-            None if kind.anonymous => plan.anonymous(),
+            None if kind.anonymous => plan.anonymous_workspace(),
             None => None,
         };
         let workspace = caller.ok_or(Kind::Unauthorized).map_err(unknown)?;
-        let model = metadata.model.clone().filter(|model| kind.events && plan.offers(model));
+        let model = metadata.model.clone().filter(|model| kind.events && plan.has_model(model));
         Ok(Self {
             workspace: workspace.clone(),
             anonymous: holder.is_none(),
--- a/components/routing/src/selection/candidates.rs
+++ b/components/routing/src/selection/candidates.rs
@@ -109,21 +109,21 @@
         target: &Target<'_>,
         arrival: &Arrival,
     ) -> Arc<[usize]> {
-        let (intent, homes) = (target.intent, target.homes);
+        let (intent, workspace_upstreams) = (target.intent, target.workspace_upstreams);
         let model = arrival.model.as_deref();
         let branch = select_branch(intent, &arrival.request);
         let selectors = branch.map_or(&intent.upstreams, |index| &intent.split[index].upstreams);
         let matches_target = |upstream: &Upstream| {
-            intent.serves(&upstream.labels, &upstream.host.domain, model)
-                && Selector::all(selectors, &upstream.labels)
-                && Selector::all(homes, &upstream.labels)
+            intent.matches_model_and_domain(&upstream.labels, &upstream.host.domain, model)
+                && Selector::all_match(selectors, &upstream.labels)
+                && Selector::all_match(workspace_upstreams, &upstream.labels)
         };
         let find = || {
             let positions =
                 upstreams.values().enumerate().filter(|(_, upstream)| matches_target(upstream));
             positions.map(|(index, _)| index).collect()
         };
-        let workspace = (!homes.is_empty()).then(|| arrival.workspace.clone());
+        let workspace = (!workspace_upstreams.is_empty()).then(|| arrival.workspace.clone());
         let index_key = (intent.name.clone(), arrival.model.clone(), branch, workspace);
         self.matching.entry(index_key).or_insert_with(find).clone()
     }
--- a/components/routing/src/selection/ranking.rs
+++ b/components/routing/src/selection/ranking.rs
@@ -86,8 +86,11 @@
             return false;
         };
         let is_allowed = |upstream: &Upstream| {
-            target.intent.fits(&upstream.labels, &upstream.host.domain, arrival.model.as_deref())
-                && Selector::all(target.homes, &upstream.labels)
+            target.intent.matches_upstream(
+                &upstream.labels,
+                &upstream.host.domain,
+                arrival.model.as_deref(),
+            ) && Selector::all_match(target.workspace_upstreams, &upstream.labels)
         };
         self.upstreams.get(upstream).is_some_and(is_allowed)
     }
--- a/components/settings/src/router.rs
+++ b/components/settings/src/router.rs
@@ -66,15 +66,15 @@
 pub struct Direct {
     /// Where operators and the platform ask for `/metrics` and whether the
     /// router is ready: IP number and port.
-    pub operators: Arc<str>,
+    pub admin: Arc<str>,
     /// Where hints of other routers come in: IP number and UDP port. Without it
     /// the router neither takes nor gives any.
     pub hints: Option<Arc<str>>,
     /// How long to wait between two looks at the platform's store, in
     /// milliseconds.
-    pub look_ms: u64,
+    pub poll_interval_ms: u64,
     /// How old the proof may get of what a router hears from others, in milliseconds.
-    pub news_ms: u64,
+    pub confirmation_ttl_ms: u64,
     /// How much the host has to spare for other routers; only the order among hosts counts.
     pub strength: u32,
     /// Whether the whole fleet starts for the first time.
--- a/src/bin/silverstack-router.rs
+++ b/src/bin/silverstack-router.rs
@@ -23,7 +23,7 @@
 
 #[ntex::main]
 async fn main() -> ExitCode {
-    match std::env::var_os(platform::SETTINGS) {
+    match std::env::var_os(platform::SETTINGS_VARIABLE) {
         Some(path) => on_platform(Path::new(&path)).await,
         None => on_own_settings().await,
     }
@@ -66,7 +66,7 @@
         let settings = settings.clone();
         async move { settings.connect().await }.boxed_local()
     });
-    match Router::start_direct(own, &direct.operators, connect) {
+    match Router::start_direct(own, &direct.admin, connect) {
         Ok(router) => {
             let path = path.to_owned();
             let read = move || read(&path).map(|it| it.router);
