--- a/components/routing/src/admission/estimator.rs
+++ b/components/routing/src/admission/estimator.rs
@@ -6,15 +6,15 @@
 
 use crate::beliefs::outlook::{millis_to_f64, to_f64};
 
-/// Weights of a new time without a queue in the base time, if it is shorter or longer. Longer ones
-/// count less, as they include the reading of prompts.
+/// Weight of a new observation in the base time, if it is shorter.
 const FALL_WEIGHT: f64 = 0.2;
+/// Weight of a new observation in the base time, if it is longer; it may include a long prefill.
 const RISE_WEIGHT: f64 = 0.02;
 
 /// Half-life of observed waits, in milliseconds: several answers long, but shorter than a burst.
 const HALF_LIFE_MS: f64 = 2_000.0;
 
-/// Number of requests with which the prior estimate is weighted.
+/// Weight of the prior estimate, in queued requests; it is updated when as many were observed.
 const PRIOR_REQUESTS: f64 = 20.0;
 
 /// Wait estimator of one priority.
@@ -27,7 +27,7 @@
     /// Observed waits beyond the base time, decaying.
     observed: Waits,
     updated_at: Millis,
-    /// Last estimate from enough requests, in milliseconds per queued request.
+    /// Prior estimate, in milliseconds per queued request.
     prior_ms: f64,
     /// Milliseconds and requests not yet reported to other routers.
     unreported: (u32, u32),
--- a/components/routing/src/requests/decision.rs
+++ b/components/routing/src/requests/decision.rs
@@ -61,7 +61,7 @@
 pub struct Exclusion {
     /// Name of the upstream.
     pub upstream: Arc<str>,
-    /// Reason of the exclusion.
+    /// Reason for the exclusion.
     pub why: &'static str,
 }
 
@@ -79,7 +79,7 @@
     pub load: u64,
     /// Estimated number of requests queued before this one.
     pub queued: u64,
-    /// Estimated time until the answer begins, in milliseconds; zero if nothing is queued.
+    /// Estimated wait for these, in milliseconds; zero if nothing is queued.
     pub wait_ms: f64,
     /// Tokens of the shared prefix to copy from another upstream.
     pub copied: u64,
--- a/components/routing/src/state.rs
+++ b/components/routing/src/state.rs
@@ -62,7 +62,7 @@
     pub(crate) peers: Peers,
     /// Saturated pools.
     pub(crate) saturation: Saturation,
-    /// Effects of the current event that do not concern its request.
+    /// Further effects of the current event, returned after its own.
     pub(crate) pending_effects: Vec<Effect>,
     pub(crate) rng: ChaCha8Rng,
 }
@@ -124,8 +124,8 @@
     pub fn is_ready(&self, now: Millis) -> bool {
         let up = self.upstreams.values().any(|upstream| upstream.is_up(now));
         let up = up || self.settings.path.trusts_listing();
-        let proved = self.is_confirmed_within(self.settings.ready_ms, now);
-        self.plan.is_some() && up && proved && self.drain.is_none()
+        let confirmed = self.is_confirmed_within(self.settings.ready_ms, now);
+        self.plan.is_some() && up && confirmed && self.drain.is_none()
     }
 
     /// Whether the current configuration was confirmed to be the newest in the last `within`
@@ -141,8 +141,8 @@
 
     /// Shortest time after which a caller refused for `kind` may retry, in milliseconds.
     pub fn retry_after_ms(&self, kind: Kind, now: Millis) -> u64 {
-        let elsewhere = matches!(kind, Kind::StaleConfiguration | Kind::Draining);
-        if elsewhere && self.has_current_peer(now) {
+        let may_retry_elsewhere = matches!(kind, Kind::StaleConfiguration | Kind::Draining);
+        if may_retry_elsewhere && self.has_current_peer(now) {
             return self.settings.elsewhere_retry_after_ms;
         }
         self.settings.retry_after_ms(kind)
