--- a/components/router/src/background.rs
+++ b/components/router/src/background.rs
@@ -71,7 +71,7 @@
         let event = match hosts.fetch().await {
             Ok(Update { entries: Some(entries), bytes }) => {
                 core.metrics.control("hosts", bytes);
-                Event::Hosts(entries.into_iter().map(host).collect())
+                Event::Hosts(entries.into_iter().map(to_host).collect())
             }
             Ok(Update { entries: None, .. }) | Err(_) => Event::Tick,
         };
@@ -95,7 +95,7 @@
     }
 }
 
-fn host(entry: store::Entry) -> Host {
+fn to_host(entry: store::Entry) -> Host {
     Host {
         name: entry.name,
         entry: "".into(),
--- a/components/router/src/core.rs
+++ b/components/router/src/core.rs
@@ -144,21 +144,21 @@
             }
             Effect::Suspect { upstream, failures, reachable, until } => {
                 let backoff = self.clock.now().until(*until);
-                report::suspected(upstream, *failures, *reachable, backoff);
+                report::log_suspect(upstream, *failures, *reachable, backoff);
                 false
             }
             Effect::Recovered { upstream } => {
-                report::revived(upstream);
+                report::log_recovered(upstream);
                 false
             }
             Effect::Leaving { upstream } => {
                 self.metrics.belief("upstream_leaves");
-                report::leaving(upstream);
+                report::log_leaving(upstream);
                 false
             }
             Effect::Backoff { upstream, duration } => {
                 self.metrics.belief("upstream_rests");
-                report::asked_for_backoff(upstream, *duration);
+                report::log_backoff(upstream, *duration);
                 false
             }
             Effect::Check { upstream, address } => {
@@ -166,14 +166,14 @@
                 false
             }
             Effect::ReportCrashes(crashes) => {
-                report::crashed(crashes);
+                report::log_crashes(crashes);
                 self.broadcast_crash(crashes);
                 self.crashes.add(crashes);
                 false
             }
             Effect::ReportCleared(clearing) => {
                 self.metrics.belief("work_cleared");
-                report::cleared(clearing.fingerprint);
+                report::log_cleared(clearing.fingerprint);
                 self.broadcast_cleared(clearing.fingerprint);
                 self.crashes.clear(clearing);
                 false
@@ -188,7 +188,7 @@
             }
             Effect::Quarantine { fingerprint, duration } => {
                 self.metrics.belief("work_held_back");
-                report::quarantined(*fingerprint, *duration);
+                report::log_quarantine(*fingerprint, *duration);
                 false
             }
             _ => true,
@@ -332,7 +332,7 @@
         if let Some(standing) = decision.standing {
             self.metrics.standing(&decision.pool, standing.rank.name());
         }
-        report::ended(decision, trace);
+        report::log_request(decision, trace);
         self.decisions.borrow_mut().insert(decision.clone());
     }
 
@@ -342,7 +342,12 @@
         self.metrics.request(kind.row().outcome.into(), Some(error));
         let state = self.state.borrow();
         let generation = state.plan().map_or(0, |plan| plan.generation());
-        report::refused(request, error, generation, state.confirmation_age_ms(self.clock.now()));
+        report::log_refusal(
+            request,
+            error,
+            generation,
+            state.confirmation_age_ms(self.clock.now()),
+        );
     }
 
     /// Number and public id of a new request. The id contains the router's name, its start time and
--- a/components/router/src/direct.rs
+++ b/components/router/src/direct.rs
@@ -89,7 +89,7 @@
             copy_from: attempt.copy_from.as_deref(),
             last_event: progress.event.filter(|_| attempt.resume),
         };
-        let outgoing = outgoing(core, template, &dispatch);
+        let outgoing = build_request(core, template, &dispatch);
         let (client, address) = (core.client().clone(), attempt.address.clone());
         let fresh = attempt.new_connection;
         let answer = Box::pin(async move { client.send(address, outgoing, fresh).await });
@@ -263,7 +263,7 @@
 }
 
 /// The request of `template` in the form that the upstream expects.
-fn outgoing(core: &Core, template: &Template, dispatch: &Dispatch<'_>) -> outbound::Request {
+fn build_request(core: &Core, template: &Template, dispatch: &Dispatch<'_>) -> outbound::Request {
     outbound::Request {
         method: template.method.clone(),
         path: template.path.clone(),
--- a/components/router/src/http.rs
+++ b/components/router/src/http.rs
@@ -95,7 +95,7 @@
     header(request, "x-deadline-ms").and_then(|value| value.parse().ok()).map(Millis)
 }
 
-fn template(request: &HttpRequest, path: String, body: Bytes) -> Template {
+fn build_template(request: &HttpRequest, path: String, body: Bytes) -> Template {
     let headers = FORWARDED
         .iter()
         .filter_map(|name| Some(((*name).into(), header(request, name)?.into())))
@@ -143,7 +143,7 @@
         Err(error) => return caller.refuse(&core, Kind::Malformed, &error),
     };
     let kind = header(&request, "x-request-kind").unwrap_or(DEFAULT_KIND);
-    let mut template = template(&request, "/v1/chat/completions".to_owned(), body);
+    let mut template = build_template(&request, "/v1/chat/completions".to_owned(), body);
     template.set_json_content_type();
     let arrival = Arrival {
         id: caller.id,
@@ -174,7 +174,7 @@
     let idempotency_key = key.map(|key| key::parse(&caller.workspace, key));
     let chat =
         idempotency_key.as_ref().map_or_else(|| caller.request.clone(), |key| key.key.clone());
-    let template = template(&request, service_path(&request, &kind), body);
+    let template = build_template(&request, service_path(&request, &kind), body);
     let arrival = Arrival {
         id: caller.id,
         fingerprint: template.fingerprint(&caller.workspace),
@@ -259,7 +259,7 @@
         Err(refusal) => return refusal,
     };
     match core.owner(&caller.workspace, &kind, &caller.request) {
-        Some(owner) => HttpResponse::Ok().json(&json!({ "key": key::mint(&owner) })),
+        Some(owner) => HttpResponse::Ok().json(&json!({ "key": key::generate(&owner) })),
         None => caller.refuse(&core, Kind::NoUpstream, ""),
     }
 }
--- a/components/router/src/ingress.rs
+++ b/components/router/src/ingress.rs
@@ -55,13 +55,18 @@
         Ok(target) => target,
         Err(kind) => return refuse(&core, kind, &id),
     };
-    let template = template(&request, headers, body, &target);
+    let template = build_template(&request, headers, body, &target);
     let fingerprint = template.fingerprint(&target.workspace);
     let arrival = arrival(number, id, fingerprint, &metadata, target);
     relay(&core, &request, arrival, template).await
 }
 
-fn template(request: &HttpRequest, headers: Vec<Header>, body: Bytes, target: &Target) -> Template {
+fn build_template(
+    request: &HttpRequest,
+    headers: Vec<Header>,
+    body: Bytes,
+    target: &Target,
+) -> Template {
     let path = request.uri().path_and_query().map_or("/", |path| path.as_str());
     Template {
         method: request.method().as_str().into(),
@@ -84,7 +89,7 @@
     Arrival {
         id: number,
         fingerprint,
-        chat: chat(&metadata.prefixes).unwrap_or_else(|| id.clone()),
+        chat: chat_id(&metadata.prefixes).unwrap_or_else(|| id.clone()),
         prefixes: shareable_prefixes(&metadata.prefixes),
         request: id,
         workspace: target.workspace,
@@ -98,7 +103,7 @@
 
 /// The id that groups requests with a common prompt: the last prefix that is not unique to this
 /// request.
-fn chat(prompt: &[Prefix]) -> Option<Arc<str>> {
+fn chat_id(prompt: &[Prefix]) -> Option<Arc<str>> {
     let shared = prompt.len().checked_sub(2)?;
     Some(prompt[shared].id.clone())
 }
--- a/components/router/src/key.rs
+++ b/components/router/src/key.rs
@@ -16,7 +16,7 @@
 pub(crate) const MAX_KEY: usize = 200;
 
 /// Generates a key for `owner`.
-pub(crate) fn mint(owner: &Owner) -> String {
+pub(crate) fn generate(owner: &Owner) -> String {
     format!("{PREFIX}.{}.{:x}.{}", owner.upstream, owner.incarnation, Uuid::now_v7().simple())
 }
 
--- a/components/router/src/persistence.rs
+++ b/components/router/src/persistence.rs
@@ -56,8 +56,8 @@
         });
     }
 
-    /// Schedules a write of the upstreams in `listing`, if they have changed and none of them is in
-    /// doubt.
+    /// Schedules a write of the upstreams in `listing`, if they have changed and none of them
+    /// is expiring.
     pub(crate) fn save(&self, listing: &Listing) {
         if listing.has_expiring() {
             return;
--- a/components/router/src/report.rs
+++ b/components/router/src/report.rs
@@ -5,7 +5,7 @@
 use spdlog::info;
 
 /// Logs the decision on a completed request.
-pub(crate) fn ended(decision: &Decision, trace: &str) {
+pub(crate) fn log_request(decision: &Decision, trace: &str) {
     let error: Option<&'static str> = decision.error.map(Into::into);
     let outcome: &'static str = decision.outcome.into();
     let upstream = decision.tries.last().map_or("", |attempt| &attempt.upstream);
@@ -22,10 +22,10 @@
         status = or_none(decision.status),
         error = error.unwrap_or(""),
         detail = &*decision.detail,
-        standing = standing(decision),
+        standing = format_standing(decision),
         attempts = decision.tries.len(),
-        passed = exclusion(decision),
-        tries = tries(decision),
+        passed = format_exclusion(decision),
+        tries = format_tries(decision),
         prompt = decision.shared.map_or_else(String::new, |prefix| format!("{:x}", prefix.hash)),
         shared = decision.shared.map_or(0, |prefix| prefix.tokens),
         first_ms = or_none(decision.answered.map(|answered| decision.came.until(answered).0)),
@@ -36,7 +36,7 @@
 
 /// Logs a request that was refused before routing. `generation` is that of the configuration in
 /// force, `proof_ms` the time since it was last confirmed.
-pub(crate) fn refused(
+pub(crate) fn log_refusal(
     request: &str,
     error: &str,
     generation: u64,
@@ -49,27 +49,27 @@
 
 /// Logs that an upstream is avoided for `backoff`; `reachable` is whether the last connection
 /// attempt succeeded.
-pub(crate) fn suspected(upstream: &str, failures: u32, reachable: bool, backoff: Millis) {
+pub(crate) fn log_suspect(upstream: &str, failures: u32, reachable: bool, backoff: Millis) {
     info!("upstream left alone", kv: { upstream, failures, reachable, ms = backoff.0 });
 }
 
 /// Logs that an upstream answers again.
-pub(crate) fn revived(upstream: &str) {
+pub(crate) fn log_recovered(upstream: &str) {
     info!("upstream answers again", kv: { upstream });
 }
 
 /// Logs that an upstream asked for a backoff.
-pub(crate) fn asked_for_backoff(upstream: &str, backoff: Millis) {
+pub(crate) fn log_backoff(upstream: &str, backoff: Millis) {
     info!("upstream asked for backoff", kv: { upstream, ms = backoff.0 });
 }
 
 /// Logs that an upstream announced in an answer that it is leaving.
-pub(crate) fn leaving(upstream: &str) {
+pub(crate) fn log_leaving(upstream: &str) {
     info!("upstream is leaving", kv: { upstream });
 }
 
 /// Logs that an upstream crashed under requests of this router.
-pub(crate) fn crashed(crashes: &[Crash]) {
+pub(crate) fn log_crashes(crashes: &[Crash]) {
     let Some(first) = crashes.first() else { return };
     let contents: Vec<_> =
         crashes.iter().map(|crash| format!("{:016x}", crash.fingerprint)).collect();
@@ -78,12 +78,12 @@
 }
 
 /// Logs that work is quarantined for `duration`.
-pub(crate) fn quarantined(fingerprint: u64, duration: Millis) {
+pub(crate) fn log_quarantine(fingerprint: u64, duration: Millis) {
     info!("work is quarantined", kv: { content = format!("{fingerprint:016x}"), ms = duration.0 });
 }
 
 /// Logs that work was completed and is no longer quarantined.
-pub(crate) fn cleared(fingerprint: u64) {
+pub(crate) fn log_cleared(fingerprint: u64) {
     info!("work is cleared", kv: { content = format!("{fingerprint:016x}") });
 }
 
@@ -93,7 +93,7 @@
 }
 
 /// The first excluded upstream by rank, with the reason; empty if there is none.
-fn exclusion(decision: &Decision) -> String {
+fn format_exclusion(decision: &Decision) -> String {
     decision
         .passed
         .first()
@@ -102,7 +102,7 @@
 
 /// How the workspace of a refused request compares to its share of the pool; empty for other
 /// requests.
-fn standing(decision: &Decision) -> String {
+fn format_standing(decision: &Decision) -> String {
     let one = |standing: Standing| {
         let age = or_none(standing.age_ms);
         let (rank, times) = (standing.rank.name(), standing.rank.excess_ratio());
@@ -116,7 +116,7 @@
 
 /// One word per attempt: upstream, time since arrival, estimated load, queued requests and their
 /// wait, tokens to read and to copy, the upstream to copy from, and the error.
-fn tries(decision: &Decision) -> String {
+fn format_tries(decision: &Decision) -> String {
     let one = |attempt: &Try| {
         let error: &'static str = attempt.error.map_or("ok", Into::into);
         let warm = attempt.warm.as_deref().unwrap_or("-");
--- a/components/router/src/target.rs
+++ b/components/router/src/target.rs
@@ -34,7 +34,7 @@
     ) -> Result<Self, Kind> {
         let plan = core.plan().ok_or(Kind::NoConfiguration)?;
         let unknown = |kind| if core.is_authoritative() { kind } else { Kind::StaleConfiguration };
-        let host = host(request);
+        let host = requested_host(request);
         let kind = plan.match_path(&host, request.path()).ok_or(Kind::NotFound).map_err(unknown)?;
         let holder = metadata.key.as_deref().and_then(|key| plan.workspace_by_key(key));
         let caller = match holder {
@@ -55,7 +55,7 @@
 }
 
 /// The requested host without its port.
-fn host(request: &HttpRequest) -> String {
+fn requested_host(request: &HttpRequest) -> String {
     let header = headers::text(request.headers(), "host");
     let host = header.or_else(|| request.uri().host()).unwrap_or("");
     host.split(':').next().unwrap_or("").to_ascii_lowercase()
