--- a/components/edge/src/dialect.rs
+++ b/components/edge/src/dialect.rs
@@ -18,7 +18,7 @@
 /// Metadata of a caller's request, from its headers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Metadata {
-    /// The caller's id of this attempt.
+    /// The request's id; a caller that retries sets a new one.
     pub id: Option<Arc<str>>,
     /// The workspace key.
     pub key: Option<Arc<str>>,
@@ -26,14 +26,14 @@
     pub remaining: Option<Millis>,
     /// The requested model.
     pub model: Option<Arc<str>>,
-    /// The parts of the prompt, in order; the last belongs to this request or
-    /// chat alone.
+    /// The segments of the prompt, in order. Other requests may share all but
+    /// the last.
     pub prefixes: Vec<Prefix>,
     /// The last event of the answer that the caller has already received.
     pub last_event: Option<u64>,
 }
 
-/// A part of a prompt that other requests may share.
+/// A segment of a prompt; together with those before it, a prefix of the prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Prefix {
     /// Identifies the content.
@@ -67,11 +67,11 @@
     pub id: Option<Arc<str>>,
     /// Whether the upstream did not run the request.
     pub not_run: bool,
-    /// Whether the answer carries the upstream's signature.
+    /// Whether the answer has a signature of the upstream, which is not verified.
     pub signed: bool,
     /// Running and waiting requests.
     pub load: Option<Load>,
-    /// How much longer the upstream is cold.
+    /// The remaining time of the upstream's cold start.
     pub cold: Option<Millis>,
     /// Whether the upstream is leaving.
     pub leaving: bool,
@@ -86,7 +86,8 @@
     pub running: u64,
     /// Requests whose answers have not.
     pub waiting: u64,
-    /// The time that work currently takes, as a percentage of the usual time.
+    /// The time that work currently takes, as a percentage of the usual time;
+    /// higher is slower.
     pub pace: Option<u32>,
 }
 
@@ -95,8 +96,8 @@
     /// Parses the headers of a caller's request.
     fn parse_request(&self, headers: &Headers) -> Metadata;
 
-    /// The headers of a request to an upstream: the caller's, without those
-    /// that only the router may set, and the router's own.
+    /// The headers of a request to an upstream: the router's own, and those of
+    /// the caller that are not reserved for the router.
     fn forward(&self, headers: &Headers, dispatch: &Dispatch<'_>) -> Vec<Header>;
 
     /// Parses the status and headers of an upstream's answer.
--- a/components/edge/src/lib.rs
+++ b/components/edge/src/lib.rs
@@ -2,8 +2,7 @@
 //!
 //! An adapter to a platform implements [`Dialect`], which parses and writes the
 //! headers of callers and upstreams, and [`Store`], which accesses the platform's
-//! key-value service. Both use types of this project only, so that no other code
-//! depends on a platform.
+//! key-value store. The signatures of the traits contain no types of a platform.
 
 mod dialect;
 mod store;
@@ -17,7 +16,7 @@
 pub use store::{Announcement, Batch, BatchFuture, Era, Error, Fact, Lease, Revision, Store};
 pub use wire::Peer;
 
-/// Creates the adapter on the thread that uses it.
+/// Creates the adapter; called on the thread that uses it, as adapters are not `Send`.
 pub type Connect = Arc<dyn Fn() -> LocalBoxFuture<'static, Result<Adapter, String>> + Send + Sync>;
 
 /// The adapter of a router to its platform.
@@ -25,7 +24,7 @@
 pub struct Adapter {
     /// Parses and writes the headers of callers and upstreams.
     pub dialect: Rc<dyn Dialect>,
-    /// The key-value service.
+    /// The key-value store.
     pub store: Rc<dyn Store>,
     /// The path of the platform's readiness checks.
     pub ready_path: &'static str,
--- a/components/edge/src/store.rs
+++ b/components/edge/src/store.rs
@@ -1,4 +1,4 @@
-//! The parts of the platform's key-value service that routers use.
+//! The platform's key-value store, as far as routers use it.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use snafu::Snafu;
 use wire::Peer;
 
-/// An entry of the service, or a change to one.
+/// An entry of the store, or a change to one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Fact {
     /// The operator's configuration.
@@ -21,15 +21,15 @@
     Upstream {
         /// The upstream.
         host: Host,
-        /// Grows with each write of the upstream since its start; a lower one is older.
+        /// Grows with each write of the entry by the same start of the upstream.
         sequence: u64,
-        /// How much longer it is cold.
+        /// The remaining time of its cold start.
         cold: Millis,
     },
     /// An upstream's entry was removed.
     UpstreamRemoved(Arc<str>),
-    /// An upstream's entry is missing after an outage of the service, in which entries expire; it
-    /// may come back.
+    /// An upstream's entry is missing after an outage of the store, in which entries expire; it may
+    /// come back.
     UpstreamMissing(Arc<str>),
     /// An upstream's entry can't be read.
     UnreadableUpstream {
@@ -48,9 +48,9 @@
     Router(Announcement),
     /// A router's announcement was removed or has expired.
     RouterRemoved(Arc<str>),
-    /// The upstreams that a router has saved for starting routers.
+    /// The upstreams that a router has saved for routers that start later.
     SavedHosts(Vec<Host>),
-    /// The encoded warm prefixes that a router has saved for starting routers.
+    /// The encoded warm prefixes that a router has saved for routers that start later.
     SavedPrefixes(Bytes),
     /// The crashes that a router has reported.
     Crashes {
@@ -70,7 +70,7 @@
     },
 }
 
-/// The entry of a router that polls the service.
+/// The entry of a router that polls the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
     /// The router.
@@ -78,55 +78,57 @@
     /// Its direct and indirect subscribers.
     #[serde(default)]
     pub hearers: Vec<Peer>,
-    /// The largest number of routers that it has counted.
+    /// The largest fleet size that the router has seen.
     #[serde(default)]
     pub most: usize,
 }
 
 impl Announcement {
     /// The router and its subscribers.
-    pub fn all(&self) -> impl Iterator<Item = &Peer> {
+    pub fn routers(&self) -> impl Iterator<Item = &Peer> {
         std::iter::once(&self.router).chain(&self.hearers)
     }
 }
 
-/// How often the service has been restored from an older copy; zero if it does not report that.
+/// How often the store has been restored from an older copy; zero if it does not report that.
+///
+/// After a restore, numbers of revisions and leases are issued again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Era(pub u64);
 
-/// A revision of the service's content. Each era reuses numbers of the one before.
+/// A revision of the store's content.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Revision {
-    /// The era of the service.
+    /// The era of the store.
     pub era: Era,
     /// The number, which grows with each change.
     pub number: u64,
 }
 
-/// An answer of the service.
+/// The result of one or more calls.
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
     /// Entries or changes, in order.
     pub facts: Vec<Fact>,
     /// The revision up to which all changes are included.
     pub revision: Revision,
-    /// The latest revision, in the same era, that any fact may be of, as pages that are read one
-    /// after the other differ in revision. Lower than `revision` if no fact is later.
+    /// The latest revision, in the same era, that any fact may be of. Above `revision` only if the
+    /// pages of a read differ in revision.
     pub latest: u64,
-    /// The length of the answers in bytes.
+    /// The total length of the answers in bytes.
     pub bytes: usize,
 }
 
-/// Why a call of the service failed.
+/// Why a call of the store failed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// The changes since the requested revision have been compacted.
-    #[snafu(display("the history is gone"))]
+    /// The changes since the requested revision are compacted, or the revision is of another era.
+    #[snafu(display("the changes since the revision are not available"))]
     HistoryGone,
     /// The changes since the requested revision are too long for a regular poll.
-    #[snafu(display("the history is long"))]
+    #[snafu(display("the changes since the revision are too long for one poll"))]
     LongHistory,
-    /// The service can't be reached, refused the call or broke off.
+    /// The store can't be reached, refused the call or closed the connection.
     #[snafu(display("{reason}"))]
     Unavailable {
         /// The cause.
@@ -137,8 +139,7 @@
 /// The pending answer of a call.
 pub type BatchFuture<'a> = LocalBoxFuture<'a, Result<Batch, Error>>;
 
-/// A lease of the service; entries written with it are removed when it ends. After a restore from
-/// an older copy, its number may belong to another writer.
+/// A lease of the store; entries written with it are removed when it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
     /// The era in which it was granted.
@@ -147,10 +148,9 @@
     pub number: u64,
 }
 
-/// The platform's key-value service.
+/// The platform's key-value store.
 pub trait Store {
-    /// Reads all entries that concern routers. The pages of a long answer may differ in revision;
-    /// the batch has the lowest.
+    /// Reads all entries that concern routers. The batch includes all changes up to its revision.
     fn read(&self) -> BatchFuture<'_>;
 
     /// Returns the changes after `revision` as soon as there are any, or an empty batch after
@@ -160,12 +160,15 @@
     /// [`Error::LongHistory`] if the changes are too long.
     fn watch(&self, revision: Revision, wait: Millis) -> BatchFuture<'_>;
 
-    /// Like [`Store::watch`] without a limit of the length. Leaves out outdated configurations if
-    /// there are many, and the ends of announcements.
+    /// Returns the changes of upstreams after `revision`, also beyond the length limit of
+    /// [`Store::watch`], and the current configuration, evacuations, crashes and announcements.
+    /// Removed announcements are left out.
+    ///
+    /// Fails with [`Error::HistoryGone`] like [`Store::watch`].
     fn catch_up(&self, revision: Revision, wait: Millis) -> BatchFuture<'_>;
 
-    /// Reads the announcements of all routers. With `allow_stale`, the answer may be some seconds old and
-    /// is cheaper for the service.
+    /// Reads the announcements of all routers. With `allow_stale`, the answer may be some seconds old
+    /// and is cheaper for the store.
     fn announcements(
         &self,
         allow_stale: bool,
@@ -178,10 +181,10 @@
         lease: Lease,
     ) -> LocalBoxFuture<'_, Result<(), Error>>;
 
-    /// Saves upstreams for starting routers.
+    /// Saves upstreams for routers that start later.
     fn save_hosts(&self, hosts: Vec<Host>) -> LocalBoxFuture<'_, Result<(), Error>>;
 
-    /// Saves encoded warm prefixes for starting routers.
+    /// Saves encoded warm prefixes for routers that start later.
     fn save_prefixes(&self, prefixes: Bytes) -> LocalBoxFuture<'_, Result<(), Error>>;
 
     /// Grants a lease that ends `ttl` after its last renewal.
@@ -199,15 +202,15 @@
     /// Renews a lease; returns `false` if it has ended, like all leases of an earlier era.
     fn renew_lease(&self, lease: Lease) -> LocalBoxFuture<'_, Result<bool, Error>>;
 
-    /// Removes the announcement of router `name`. Its lease is left to expire, as its number may
-    /// belong to another writer by now.
+    /// Removes the announcement of router `name`. Its lease is left to expire: after a restore, the
+    /// lease's number may belong to another writer.
     fn withdraw(&self, name: Arc<str>) -> LocalBoxFuture<'_, Result<(), Error>>;
 
     /// The latest era that an answer contained.
     fn era(&self) -> Era;
 }
 
-/// Serializes a configuration as JSON, its own format, in which empty fields are left out.
+/// Serializes a configuration as a JSON string, as `bincode` can't decode omitted fields.
 mod document {
     use intents::Document;
     use serde::de::Error as _;
--- a/components/fleet/src/gossip.rs
+++ b/components/fleet/src/gossip.rs
@@ -117,7 +117,7 @@
     }
 }
 
-/// Encodes a hint, with ages increased by its time in the queue; `None` if that fails.
+/// Encodes a hint; the ages of observations grow by its time in the queue. `None` if that fails.
 fn encode(mut hint: Hint, now: Millis) -> Option<EncodedHint> {
     if let Frame::Observations(observations) = &mut hint.frame {
         for observation in &mut observations.upstreams {
--- a/components/fleet/src/mirror.rs
+++ b/components/fleet/src/mirror.rs
@@ -6,7 +6,7 @@
 use clock::Millis;
 use edge::{Batch, Era, Fact, Revision};
 
-/// Routers that query for changes since an older removal get everything.
+/// How many removals are kept; routers that query for changes before them get all facts.
 const MAX_REMOVED: usize = 4_096;
 
 /// The revision that a router has read up to; `None` before its first read.
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 struct Entry {
     fact: Fact,
-    /// The revision that this router had reached when the fact arrived.
+    /// Routers at a lower revision need the fact; see [`Entry::settle`].
     revision: u64,
     /// The latest revision that the fact may be of: the pages of one read differ in revision.
     latest: u64,
@@ -36,8 +36,9 @@
 }
 
 impl Entry {
-    /// Raises the entry's revision once this router has reached the entry's latest possible one:
-    /// routers that reached the revision of its batch through another router may lack it.
+    /// Marks the fact as changed again once this router has reached `latest`. A fact of a read of
+    /// several pages may be newer than the batch's revision, so that a router which reached that
+    /// revision from another source may lack it.
     fn settle(&mut self, revision: u64) {
         if self.revision < self.latest && self.latest <= revision {
             self.revision = revision;
@@ -52,8 +53,8 @@
     entries: BTreeMap<Key, Entry>,
     /// The facts that removed entries.
     removed: BTreeMap<Key, Entry>,
-    /// Removals up to this revision have been dropped.
-    forgotten: u64,
+    /// Changes after this revision are known.
+    history_start: u64,
 }
 
 impl Mirror {
@@ -65,8 +66,8 @@
     /// Applies a batch that arrived at `now`.
     ///
     /// `full` marks a batch of the whole content, `recovering` one that follows an outage, so that
-    /// removed upstreams are only missing. `keep_evacuated` keeps failure domains evacuated that a
-    /// full batch doesn't list.
+    /// removed upstreams are only missing. `keep_evacuated` keeps failure domains evacuated that
+    /// the batch doesn't list.
     pub fn apply(
         &mut self,
         batch: &Batch,
@@ -76,7 +77,7 @@
         now: Millis,
     ) {
         if self.position.is_none_or(|position| position.era != batch.revision.era) {
-            *self = Self { forgotten: batch.revision.number, ..Self::default() };
+            *self = Self { history_start: batch.revision.number, ..Self::default() };
         }
         self.position = Some(batch.revision);
         let revision = batch.revision.number;
@@ -84,16 +85,16 @@
         self.removed.values_mut().for_each(|entry| entry.settle(revision));
         let new_entry = |fact| Entry { fact, revision, latest: batch.latest, at: now };
         let mut listed = Vec::new();
-        let lists_evacuated = full || batch.facts.contains(&Fact::AllRestored);
+        let is_listing = full || batch.facts.contains(&Fact::AllRestored);
         for fact in &batch.facts {
-            if let Some(key) = key(fact) {
-                self.put(key.clone(), new_entry(published(fact, recovering)), !lists_evacuated);
+            if let Some(key) = key_of(fact) {
+                self.put(key.clone(), new_entry(published(fact, recovering)), !is_listing);
                 listed.push(key);
             }
         }
         listed.sort();
         let is_complete = |key: &Key| match key {
-            Key::Evacuated(_) => lists_evacuated && !keep_evacuated,
+            Key::Evacuated(_) => is_listing && !keep_evacuated,
             _ => full,
         };
         let gone = self
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Stores a fact. `changed` tells changes from listed facts, which may be known already.
+    /// Stores a fact. It is `changed` unless it is part of a listing, which may repeat known facts.
     fn put(&mut self, key: Key, entry: Entry, changed: bool) {
         if is_removal(&entry.fact) {
             self.entries.remove(&key);
@@ -129,14 +130,14 @@
         let oldest = self.removed.iter().min_by_key(|(_, entry)| entry.revision);
         if let Some((key, revision)) = oldest.map(|(key, entry)| (key.clone(), entry.revision)) {
             self.removed.remove(&key);
-            self.forgotten = self.forgotten.max(revision);
+            self.history_start = self.history_start.max(revision);
         }
     }
 
     /// Whether all changes after `position` are known.
     pub fn covers(&self, position: Revision) -> bool {
         let Some(known) = self.position else { return false };
-        known.era == position.era && (self.forgotten..=known.number).contains(&position.number)
+        known.era == position.era && (self.history_start..=known.number).contains(&position.number)
     }
 
     /// The changes after `position`, as of `now`; `None` if they aren't all known, so that a full
@@ -204,8 +205,8 @@
     )
 }
 
-/// The key of a fact; `None` if other routers don't need it.
-fn key(fact: &Fact) -> Option<Key> {
+/// The key of a fact; `None` if it is not stored.
+fn key_of(fact: &Fact) -> Option<Key> {
     match fact {
         Fact::Configuration(_) => Some(Key::Configuration),
         Fact::Upstream { host, .. } => Some(Key::Upstream(host.entry().clone())),
--- a/components/fleet/src/roster.rs
+++ b/components/fleet/src/roster.rs
@@ -49,7 +49,7 @@
     pub fn is_listed(&self, name: &str) -> bool {
         self.announced
             .values()
-            .any(|announcement| announcement.all().any(|peer| &*peer.name == name))
+            .any(|announcement| announcement.routers().any(|peer| &*peer.name == name))
     }
 
     /// The routers that announce themselves, which are those that poll the store.
@@ -61,7 +61,7 @@
     /// while.
     pub fn refresh(&mut self, now: Millis) {
         for announcement in self.announced.values() {
-            for peer in announcement.all() {
+            for peer in announcement.routers() {
                 self.listed.insert(peer.name.clone(), (peer.clone(), now));
             }
         }
--- a/components/fleet/src/sources.rs
+++ b/components/fleet/src/sources.rs
@@ -15,8 +15,8 @@
 /// cover its loss.
 const SINGLE_DOMAIN_POLLERS: usize = 2;
 
-/// How long a router remains a poller after it became one for lack of a source. Announcements of
-/// pollers without access to the store expire by then.
+/// How long a router remains a poller after it became one for lack of a useful answer. Pollers
+/// that have lost the store are no longer announced by then, and can't make it step down.
 const MIN_POLLER_TIME: Millis = Millis(20_000);
 
 /// The time between the routers that may replace a missing poller, in order of their rank. Long
@@ -26,7 +26,7 @@
 /// How long a router without any source waits.
 const IDLE_PAUSE: Millis = Millis(300);
 
-/// How long there must be too many pollers before the last in rank steps down.
+/// How long enough pollers must rank before a poller until it steps down.
 const SURPLUS_TIMEOUT: Millis = Millis(3_000);
 
 /// How long a router that did not answer is not queried again.
@@ -35,14 +35,14 @@
 /// How long a router that did not answer counts as failed; its announcement expires by then.
 const FAILURE_RETENTION: Millis = Millis(20_000);
 
-/// How long a router that has just started is not queried again.
-const STARTUP_BACKOFF: Millis = Millis(100);
+/// How long a router that could not answer yet is not queried again.
+const NOT_READY_BACKOFF: Millis = Millis(100);
 
-/// How long routers with a stale confirmation are queried after all others.
+/// How long a router is ranked behind other candidates after its confirmation was stale.
 const STALE_RETENTION: Millis = Millis(10_000);
 
-/// How long the first router in rank has no source before it polls the store. Each further one
-/// waits [`FALLBACK_INTERVAL`] longer, which limits the polls of a domain.
+/// How long the first router in rank gets no useful answer before it polls the store. Each further
+/// one waits [`FALLBACK_INTERVAL`] longer, which limits the polls of a domain.
 const FALLBACK_DELAY: Millis = Millis(500);
 
 /// The time between the polls of a domain's routers while the store does not answer.
@@ -52,11 +52,11 @@
 /// know all routers yet.
 const STARTUP_TIME: Millis = Millis(3_000);
 
-/// How many routers that may become pollers are queried if all pollers have failed.
+/// How many possible successors of the pollers may be queried, after all other candidates.
 const MAX_SUCCESSORS: usize = 3;
 
-/// Hash label of the rank in which routers become pollers.
-const RANK_LABEL: &str = "follower";
+/// Label of the hashes for ranks and query orders, on which routers of all versions must agree.
+const HASH_LABEL: &str = "follower";
 
 /// Where to read from next.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -78,18 +78,18 @@
     is_poller: bool,
     /// When routers last failed to answer.
     failed_at: BTreeMap<Arc<str>, Millis>,
-    /// Until when routers that have just started are not queried.
-    starting_until: BTreeMap<Arc<str>, Millis>,
+    /// Until when routers that could not answer yet are not queried.
+    not_ready_until: BTreeMap<Arc<str>, Millis>,
     /// When the confirmations of routers were last found to be stale.
     stale_at: BTreeMap<Arc<str>, Millis>,
     referrals: Referrals,
     /// When the store may be polled again after a failure.
     store_retry_at: Millis,
-    /// Since when no source has had anything new.
-    isolated_since: Option<Millis>,
+    /// When the first query after the last useful answer began.
+    unanswered_since: Option<Millis>,
     /// Since when this domain has had too few pollers.
     shortage_since: Option<Millis>,
-    /// Since when it has had too many.
+    /// Since when enough pollers have ranked before this one.
     surplus_since: Option<Millis>,
     /// Until when this router remains a poller in any case.
     poller_until: Millis,
@@ -106,11 +106,11 @@
             started: now,
             is_poller: false,
             failed_at: BTreeMap::new(),
-            starting_until: BTreeMap::new(),
+            not_ready_until: BTreeMap::new(),
             stale_at: BTreeMap::new(),
             referrals: Referrals::default(),
             store_retry_at: Millis::ZERO,
-            isolated_since: None,
+            unanswered_since: None,
             shortage_since: None,
             surplus_since: None,
             poller_until: Millis::ZERO,
@@ -141,17 +141,17 @@
     pub fn update_role(&mut self, roster: &mut Roster, now: Millis) -> bool {
         roster.refresh(now);
         let (pollers, wanted) = (self.local_pollers(roster, now), self.wanted(roster, now));
-        let due = if self.is_poller {
-            self.is_surplus(&pollers, wanted, now)
+        let changes = if self.is_poller {
+            self.should_step_down(&pollers, wanted, now)
         } else {
-            self.is_due(&pollers, wanted, roster, now)
+            self.should_become_poller(&pollers, wanted, roster, now)
         };
-        if due {
+        if changes {
             self.is_poller = !self.is_poller;
             self.shortage_since = None;
             self.surplus_since = None;
         }
-        due
+        changes
     }
 
     /// How many pollers this domain needs.
@@ -171,8 +171,8 @@
         roster.pollers().filter(is_local).filter(is_reachable).cloned().collect()
     }
 
-    /// Whether there have been too many pollers for a while, with this one last in rank.
-    fn is_surplus(&mut self, pollers: &[Peer], wanted: usize, now: Millis) -> bool {
+    /// Whether enough pollers have ranked before this one for [`SURPLUS_TIMEOUT`].
+    fn should_step_down(&mut self, pollers: &[Peer], wanted: usize, now: Millis) -> bool {
         let own = rank(&self.own);
         let before = pollers.iter().filter(|poller| rank(poller) < own).count();
         if before < wanted || now < self.poller_until {
@@ -183,7 +183,7 @@
     }
 
     /// Whether there are too few pollers, and this router is the next in rank.
-    fn is_due(
+    fn should_become_poller(
         &mut self,
         pollers: &[Peer],
         wanted: usize,
@@ -227,7 +227,7 @@
         if self.is_poller && store_available {
             return Source::Store;
         }
-        let since = *self.isolated_since.get_or_insert(now);
+        let since = *self.unanswered_since.get_or_insert(now);
         if store_available && since.until(now) >= self.fallback_delay(roster, now) {
             return Source::Store;
         }
@@ -242,15 +242,21 @@
     /// Removes outdated records.
     fn expire(&mut self, now: Millis) {
         self.failed_at.retain(|_, at| at.until(now) < FAILURE_RETENTION);
-        self.starting_until.retain(|_, until| *until > now);
+        self.not_ready_until.retain(|_, until| *until > now);
         self.referrals.expire(now);
         self.stale_at.retain(|_, at| at.until(now) < STALE_RETENTION);
     }
 
-    /// The routers that may be queried, in order: those of the own domain, then all others; within
-    /// each group those of the latest referral, then pollers in a random order of this router.
-    /// Routers with stale confirmations come later, subscribers of this router last. Routers of
-    /// earlier versions, which name no domain, are left out.
+    /// The routers that may be queried, without routers of earlier versions, which have no domain.
+    ///
+    /// They are ordered by group, and within each group by a hash that differs between routers:
+    ///
+    /// 1. routers of this domain
+    /// 2. routers of other domains
+    /// 3. pollers of this domain that this router may not return to yet
+    /// 4. possible successors of the pollers
+    ///
+    /// Routers with a stale confirmation come after all others, subscribers of this router last.
     fn candidates(&self, roster: &Roster, now: Millis) -> Vec<Peer> {
         let is_backing_off = |peer: &Peer| {
             self.failed_at.get(&peer.name).is_some_and(|at| at.until(now) < FAILURE_BACKOFF)
@@ -260,10 +266,10 @@
                 && peer.hints.is_some()
                 && !peer.domain.is_empty()
                 && !is_backing_off(peer)
-                && !self.starting_until.contains_key(&peer.name)
+                && !self.not_ready_until.contains_key(&peer.name)
                 && !self.referrals.is_full(&peer.name)
         };
-        let seed = key(RANK_LABEL, &self.own.name);
+        let seed = key(HASH_LABEL, &self.own.name);
         let weight = |peer: &Peer| score(seed, &peer.name, 1.0);
         let mut pollers: Vec<_> = roster.pollers().filter(is_candidate).cloned().collect();
         pollers.sort_by(|one, other| weight(other).total_cmp(&weight(one)));
@@ -271,12 +277,12 @@
             self.referrals.candidates().filter(is_candidate).cloned().collect();
         candidates.extend(pollers);
         candidates.sort_by_key(|peer| self.locality.distance(&self.own, peer, roster, now));
-        // If all pollers have failed, their successors may not have announced themselves yet.
+        // Routers that have just replaced failed pollers may not be announced yet.
         candidates.extend(self.successors(roster).into_iter().filter(|peer| is_candidate(&peer)));
-        let last = |peer: &Peer| {
+        let demotion = |peer: &Peer| {
             (self.subscribers.contains(&peer.name), self.stale_at.get(&peer.name).copied())
         };
-        candidates.sort_by_key(last);
+        candidates.sort_by_key(demotion);
         candidates
     }
 
@@ -290,7 +296,7 @@
         successors
     }
 
-    /// How long this router must have had no source before it polls the store.
+    /// How long this router must have got no useful answer before it polls the store.
     fn fallback_delay(&self, roster: &mut Roster, now: Millis) -> Millis {
         let own = rank(&self.own);
         let is_before = |peer: &Peer| peer.domain == self.own.domain && rank(peer) < own;
@@ -305,18 +311,18 @@
 
     /// Records an answer with a recent enough confirmation.
     pub fn record_success(&mut self, name: &str) {
-        self.isolated_since = None;
+        self.unanswered_since = None;
         self.locality.set_source(name);
         self.referrals.record_success();
         self.failed_at.remove(name);
         self.stale_at.remove(name);
     }
 
-    /// Records an answer of the store. A router that polled it for lack of a source becomes a
-    /// poller; returns whether it has.
+    /// Records an answer of the store. A router that polled it for lack of a useful answer
+    /// becomes a poller; returns whether it has.
     pub fn record_store_success(&mut self, now: Millis) -> bool {
         self.store_retry_at = Millis::ZERO;
-        self.isolated_since = None;
+        self.unanswered_since = None;
         self.locality.clear_source();
         let begins = !self.is_poller;
         if begins {
@@ -351,16 +357,16 @@
         self.referrals.record_failure(name, now);
     }
 
-    /// Records that a router has referred this one to `others`. Without any, it has just started
-    /// and is queried again soon.
+    /// Records that router `name` has referred this one to `others`. If there are none, it can't
+    /// answer yet, as it has just started or is behind, and is queried again soon.
     pub fn record_referral(&mut self, name: &Arc<str>, mut others: Vec<Peer>, now: Millis) {
         self.failed_at.remove(name);
         self.locality.remove_source(name);
         if others.is_empty() {
-            self.starting_until.insert(name.clone(), now + STARTUP_BACKOFF);
+            self.not_ready_until.insert(name.clone(), now + NOT_READY_BACKOFF);
             return self.referrals.record_failure(name, now);
         }
-        let seed = key(RANK_LABEL, &self.own.name);
+        let seed = key(HASH_LABEL, &self.own.name);
         let weight = |peer: &Peer| score(seed, &peer.name, 1.0);
         others.sort_by(|one, other| weight(other).total_cmp(&weight(one)));
         others.sort_by_key(|peer| self.failed_at.contains_key(&peer.name));
@@ -368,7 +374,7 @@
     }
 }
 
-/// The order in which routers become pollers, the same at all: by strength, then by hash.
+/// The sort key by which routers become pollers, the strongest first; all routers compute the same.
 fn rank(peer: &Peer) -> (std::cmp::Reverse<u32>, u64) {
-    (std::cmp::Reverse(peer.strength), key(RANK_LABEL, &peer.name))
+    (std::cmp::Reverse(peer.strength), key(HASH_LABEL, &peer.name))
 }
--- a/components/fleet/tests/gossip.rs
+++ b/components/fleet/tests/gossip.rs
@@ -22,7 +22,7 @@
 fn frames(datagram: &Bytes) -> Vec<Frame> {
     let mut reader = Reader::default();
     reader.push(datagram);
-    let frames = std::iter::from_fn(|| reader.frame().expect("a frame")).collect();
+    let frames = std::iter::from_fn(|| reader.next_frame().expect("a frame")).collect();
     assert!(!reader.is_partial());
     frames
 }
--- a/components/fleet/tests/mirror.rs
+++ b/components/fleet/tests/mirror.rs
@@ -108,22 +108,22 @@
         let mut expected = Reader::default();
         let mut history: Vec<(u64, Fact)> = Vec::new();
         let mut number = 1;
-        let mut polled = 0;
+        let mut polled_revision = 0;
         let mut mirror = Mirror::default();
         let mut readers: [Reader; 3] = Default::default();
-        let poll = |full: bool, polled: &mut u64, mirror: &mut Mirror, expected: &Reader,
+        let poll = |full: bool, polled_revision: &mut u64, mirror: &mut Mirror, expected: &Reader,
                     history: &[(u64, Fact)], number: u64| {
-            let facts = if full || *polled == 0 {
+            let facts = if full || *polled_revision == 0 {
                 let upstreams = expected.upstreams.iter().map(|(name, sequence)| {
                     upstream(name[2..].parse().expect("a number"), *sequence)
                 });
                 let evacuated = expected.evacuated.iter().cloned().map(Fact::Evacuated);
                 std::iter::once(Fact::AllRestored).chain(upstreams).chain(evacuated).collect()
             } else {
-                history.iter().filter(|(at, _)| *at > *polled).map(|(_, fact)| fact.clone()).collect()
+                history.iter().filter(|(at, _)| *at > *polled_revision).map(|(_, fact)| fact.clone()).collect()
             };
-            let full = full || *polled == 0;
-            *polled = number;
+            let full = full || *polled_revision == 0;
+            *polled_revision = number;
             let batch = Batch { facts, revision: revision(number), ..Batch::default() };
             mirror.apply(&batch, full, false, false, Millis(number));
         };
@@ -134,7 +134,7 @@
                 Step::Evacuate => Some(Fact::Evacuated(domain.clone())),
                 Step::Restore => Some(Fact::Restored(domain.clone())),
                 Step::Poll { full } => {
-                    poll(full, &mut polled, &mut mirror, &expected, &history, number);
+                    poll(full, &mut polled_revision, &mut mirror, &expected, &history, number);
                     None
                 }
                 Step::Read(reader) => {
@@ -148,7 +148,7 @@
                 history.push((number, fact));
             }
         }
-        poll(false, &mut polled, &mut mirror, &expected, &history, number);
+        poll(false, &mut polled_revision, &mut mirror, &expected, &history, number);
         expected.position = Some(number);
         for reader in &mut readers {
             reader.read(&mirror, Millis(number));
@@ -205,7 +205,7 @@
     assert_eq!(mirror.all(Millis(9_000)), [Fact::AllRestored, cold(0)]);
 }
 
-/// A mirror after `changes`, each of one revision.
+/// A mirror after `changes`, each with its revision; that of revision 1 is a full batch.
 fn mirror_of(changes: &[(u64, Fact)]) -> Mirror {
     let mut mirror = Mirror::default();
     for (number, fact) in changes {
--- a/components/link/src/stream.rs
+++ b/components/link/src/stream.rs
@@ -92,7 +92,7 @@
     /// A broken link, an end within a frame, or a bad frame.
     pub async fn next(&mut self) -> Result<Option<Frame>, Error> {
         loop {
-            if let Some(frame) = self.reader.frame().context(FrameSnafu)? {
+            if let Some(frame) = self.reader.next_frame().context(FrameSnafu)? {
                 return Ok(Some(frame));
             }
             let Some(data) = self.stream.data().await else {
--- a/components/permits/src/issuer.rs
+++ b/components/permits/src/issuer.rs
@@ -196,7 +196,7 @@
             id,
             workspace: claim.workspace.clone(),
             fingerprint: claim.fingerprint,
-            urgency: claim.urgency,
+            urgency: claim.priority,
             repeatable: claim.repeatable,
             arrived,
             deadline: arrived + self.max_wait(objective, now),
--- a/components/permits/tests/issuer.rs
+++ b/components/permits/tests/issuer.rs
@@ -85,7 +85,7 @@
                     workspace: format!("w-{workspace}").into(),
                     // Fingerprints of different workspaces differ.
                     fingerprint: number / 2 * 8 + u64::from(*workspace),
-                    urgency: *urgency,
+                    priority: *urgency,
                     objective_ms: OBJECTIVE,
                     ..Claim::default()
                 };
--- a/components/permits/tests/loads/world.rs
+++ b/components/permits/tests/loads/world.rs
@@ -240,7 +240,7 @@
                 number,
                 workspace: format!("w-{}", request.workspace).into(),
                 fingerprint: request.fingerprint,
-                urgency: 2,
+                priority: 2,
                 repeatable: number.is_multiple_of(2),
                 objective_ms: 300,
                 age_ms: 0,
--- a/components/router/src/hints.rs
+++ b/components/router/src/hints.rs
@@ -147,7 +147,7 @@
     reader.push(datagram);
     let mut forwarded_hops = None;
     loop {
-        match reader.frame() {
+        match reader.next_frame() {
             Ok(Some(Frame::Forwarded(hops))) => forwarded_hops = Some(hops + 1),
             Ok(Some(frame)) => {
                 if let Some(hops) = forwarded_hops {
--- a/components/router/src/persistence.rs
+++ b/components/router/src/persistence.rs
@@ -120,7 +120,7 @@
 pub(crate) fn decode(bytes: &[u8]) -> Vec<WarmPrefixes> {
     let mut reader = Reader::default();
     reader.push(bytes);
-    let next = || match reader.frame() {
+    let next = || match reader.next_frame() {
         Ok(Some(Frame::WarmPrefixes(warm))) => Some(warm),
         _ => None,
     };
--- a/components/routing/src/requests/permits.rs
+++ b/components/routing/src/requests/permits.rs
@@ -132,7 +132,7 @@
             number,
             workspace: request.arrival.workspace.clone(),
             fingerprint: request.arrival.fingerprint,
-            urgency: request.priority,
+            priority: request.priority,
             repeatable: request.repeatable,
             objective_ms,
             age_ms,
--- a/components/store/src/error.rs
+++ b/components/store/src/error.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The service can't be reached or broke off; a write may have taken effect.
+    /// The request failed or its response is incomplete; a write may have taken effect.
     #[snafu(display("the platform's service did not answer: {reason}"))]
     Unreachable {
         /// The client's error.
--- a/components/store/src/hosts.rs
+++ b/components/store/src/hosts.rs
@@ -18,19 +18,19 @@
 
 const MAX_LIST_BYTES: usize = 8 * 1024 * 1024;
 
-/// One host of an upstream.
+/// The host of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// The upstream's name.
     pub name: Arc<str>,
-    /// The address of its sidecar.
+    /// The address of the upstream's sidecar.
     pub address: Arc<str>,
-    /// Its failure domain.
+    /// The failure domain of the host.
     pub domain: Arc<str>,
-    /// The platform's labels.
+    /// The labels that the platform gave the upstream.
     #[serde(default)]
     pub labels: BTreeMap<Arc<str>, Arc<str>>,
-    /// Whether it is leaving.
+    /// Whether the upstream is leaving.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -47,48 +47,49 @@
 /// The answer to one request for the list.
 #[derive(Clone, Debug)]
 pub struct Update {
-    /// The list, if it has changed.
+    /// The list; `None` if it has not changed.
     pub entries: Option<Vec<Entry>>,
-    /// The length of the received list in bytes.
+    /// The length of the list in bytes; 0 if it has not changed.
     pub bytes: usize,
 }
 
 impl Hosts {
-    /// Creates a client for the list at `base`.
+    /// Creates a client for the service at `base`.
     ///
     /// # Errors
     ///
     /// The runtime can't create an HTTP client.
     pub async fn new(base: &str) -> Result<Self, Error> {
         let client =
-            process::client(KEEP_ALIVE, process::CONNECT_TIMEOUT).await.map_err(unreachable)?;
+            process::client(KEEP_ALIVE, process::CONNECT_TIMEOUT).await.map_err(to_unreachable)?;
         Ok(Self { client, url: format!("{base}/v1/hosts").into(), etag: None })
     }
 
-    /// Reads the list if it has changed since the last call. The list lags behind the hosts.
+    /// Reads the list if it has changed since the last call. It may be outdated: listed hosts may
+    /// be gone.
     ///
     /// # Errors
     ///
-    /// The service did not answer, or not with a list.
+    /// The request failed, or was answered with another status or content than a list.
     pub async fn fetch(&mut self) -> Result<Update, Error> {
         let mut request = self.client.get(&*self.url).timeout(REQUEST_TIMEOUT);
         if let Some(etag) = &self.etag {
             request = request.header("if-none-match", etag);
         }
-        let response = request.send().await.map_err(unreachable)?;
+        let response = request.send().await.map_err(to_unreachable)?;
         match response.status().as_u16() {
             200 => {}
             304 => return Ok(Update { entries: None, bytes: 0 }),
             status => return Err(Error::Status { status }),
         }
         let etag = response.header("etag").and_then(|value| value.to_str().ok()).map(str::to_owned);
-        let body = response.body().limit(MAX_LIST_BYTES).await.map_err(unreachable)?;
+        let body = response.body().limit(MAX_LIST_BYTES).await.map_err(to_unreachable)?;
         let entries = serde_json::from_slice(&body).context(MalformedSnafu)?;
         self.etag = etag;
         Ok(Update { entries: Some(entries), bytes: body.len() })
     }
 }
 
-pub(crate) fn unreachable(error: impl std::fmt::Display) -> Error {
+pub(crate) fn to_unreachable(error: impl std::fmt::Display) -> Error {
     Error::Unreachable { reason: error.to_string() }
 }
--- a/components/store/src/lib.rs
+++ b/components/store/src/lib.rs
@@ -1,7 +1,7 @@
 //! Clients of the platform's services.
 //!
 //! [`Hosts`] reads the list of live and leaving hosts; [`Store`] is a client of
-//! the etcd v3 key-value service, over JSON and HTTP.
+//! the etcd v3 key-value service, in which routers bind idempotency keys.
 
 mod error;
 mod hosts;
--- a/components/store/src/store.rs
+++ b/components/store/src/store.rs
@@ -11,7 +11,7 @@
 
 use crate::Error;
 use crate::error::{MalformedSnafu, MissingValueSnafu};
-use crate::hosts::{KEEP_ALIVE, unreachable};
+use crate::hosts::{KEEP_ALIVE, to_unreachable};
 
 const REQUEST_TIMEOUT: Millis = Millis(1_000);
 
@@ -30,7 +30,7 @@
     /// The runtime can't create an HTTP client.
     pub async fn new(base: &str) -> Result<Self, Error> {
         let client =
-            process::client(KEEP_ALIVE, process::CONNECT_TIMEOUT).await.map_err(unreachable)?;
+            process::client(KEEP_ALIVE, process::CONNECT_TIMEOUT).await.map_err(to_unreachable)?;
         Ok(Self { client, base: base.into() })
     }
 
@@ -64,12 +64,12 @@
     async fn call(&self, path: &str, body: &Value) -> Result<Value, Error> {
         let url = format!("{}{path}", self.base);
         let request = self.client.post(url).timeout(REQUEST_TIMEOUT).send_json(body);
-        let response = request.await.map_err(unreachable)?;
+        let response = request.await.map_err(to_unreachable)?;
         let status = response.status().as_u16();
         if status != 200 {
             return Err(Error::Status { status });
         }
-        let body = response.body().await.map_err(unreachable)?;
+        let body = response.body().await.map_err(to_unreachable)?;
         serde_json::from_slice(&body).context(MalformedSnafu)
     }
 }
--- a/components/wire/src/codec.rs
+++ b/components/wire/src/codec.rs
@@ -11,7 +11,7 @@
 
 const PREFIX_BYTES: usize = 4;
 
-/// Enough for most frames, which carry one token.
+/// The initial buffer, which grows for larger frames.
 const INITIAL_CAPACITY: usize = 256;
 
 /// A frame that can't be written or read.
@@ -84,7 +84,7 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether the buffer holds bytes of an incomplete frame.
+    /// Whether there are bytes that have not been returned as a frame.
     pub fn is_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
@@ -94,7 +94,7 @@
     /// # Errors
     ///
     /// The frame is too long or can't be decoded; the rest of the stream can't be read either.
-    pub fn frame(&mut self) -> Result<Option<Frame>, Error> {
+    pub fn next_frame(&mut self) -> Result<Option<Frame>, Error> {
         if self.buffer.len() < PREFIX_BYTES {
             return Ok(None);
         }
--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -11,9 +11,10 @@
 use crate::demands::Demands;
 use crate::permits::{Claims, Saturated, Verdicts};
 
-/// One frame of a stream.
+/// A message of a stream, or of a datagram between routers.
 ///
-/// A stream begins with [`Frame::Hello`], [`Frame::Open`] or [`Frame::Report`].
+/// A stream begins with [`Frame::Hello`], [`Frame::Open`], [`Frame::Report`],
+/// [`Frame::DirectoryUpdate`] or [`Frame::Query`].
 /// `Open` is answered by one `Refused`, or by `Admitted`, `Head`, any number of
 /// `Chunk`s and one `End`; `Broken` may take the place of any frame after
 /// `Admitted`.
@@ -25,7 +26,7 @@
     Welcome(Welcome),
     /// A whole request.
     Open(Open),
-    /// The request did not run.
+    /// The sidecar did not start the request.
     Refused(Refused),
     /// The request was accepted and may run from now on.
     Admitted(Admitted),
@@ -41,13 +42,13 @@
     Report(Report),
     /// The sum over the pool, in answer to `Report`.
     Pool(Pool),
-    /// The current location of a chat's context, sent to its first upstream in rank.
+    /// The location of a chat's context, sent by a router to the chat's home.
     DirectoryUpdate(DirectoryUpdate),
     /// Between routers: prefixes in the cache of an upstream.
     WarmPrefixes(WarmPrefixes),
     /// Between routers: the sender's own load at upstreams.
     Loads(Loads),
-    /// Between routers: loads of upstreams that answers contained.
+    /// Between routers: upstream loads taken from answers.
     Observations(Observations),
     /// Between routers: how requests ended.
     Outcomes(Vec<Outcome>),
@@ -62,8 +63,7 @@
     Changes(Changes),
     /// The queried router can't answer; others may.
     Referral(Referral),
-    /// The first frame of a datagram whose hints are to be forwarded: the largest number of
-    /// routers that have already forwarded one of them.
+    /// Precedes hints that the receiver forwards; holds the highest hop count among them.
     Forwarded(u32),
     /// Between routers: the pace that upstreams reported.
     Paces(Vec<Pace>),
@@ -72,7 +72,7 @@
     Cleared(Vec<u64>),
     /// Between routers: the demand for a saturated pool.
     Demands(Demands),
-    /// To the owner of a saturated pool: requests that need permits.
+    /// To the owner of a saturated pool: claims, releases and held permits of a router.
     Claims(Claims),
     /// From the owner of a saturated pool: the answers to claims.
     Verdicts(Verdicts),
@@ -104,7 +104,8 @@
     /// Its failure domain.
     #[serde(default)]
     pub domain: Arc<str>,
-    /// The capacity of its host that it has to spare; only the order counts.
+    /// The spare capacity of its host, relative to others: ranks pollers, and weights the
+    /// ownership of pools.
     #[serde(default)]
     pub strength: u32,
 }
@@ -166,7 +167,7 @@
     pub status: Status,
 }
 
-/// The state of a sidecar, sent with every answer.
+/// The state of a sidecar, sent with `Welcome`, `Admitted`, `Refused` and `End`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// Identifies the start of the sidecar; grows with each restart.
@@ -192,8 +193,8 @@
     pub workspace: Arc<str>,
     /// The hash of workspace and chat.
     pub chat: u64,
-    /// Whether this is the chat's first upstream in rank, which keeps the
-    /// location of the chat's context.
+    /// Whether the receiver is the chat's home: the first upstream in rank,
+    /// which stores the location of the chat's context.
     pub is_home: bool,
     /// Lower runs earlier.
     pub priority: i32,
@@ -219,10 +220,10 @@
     pub body: Bytes,
 }
 
-/// Why a request did not run.
+/// Why a sidecar did not start a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refused {
-    /// The reason; its outcome is `not run` unless the reason is about a key.
+    /// The reason; its outcome says whether the request may have run earlier.
     pub kind: Kind,
     /// When to retry, in milliseconds.
     pub retry_after_ms: u64,
@@ -316,16 +317,16 @@
     pub upstream: Arc<str>,
     /// The hashes of the prefixes.
     pub prefixes: Vec<u64>,
-    /// Whether they are already cached.
+    /// Their state at the upstream.
     pub stage: Stage,
 }
 
-/// How far an upstream is with the prefixes of a prompt.
+/// The state of prefixes at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stage {
-    /// It computes them; it had no upstream to copy them from.
+    /// The upstream is computing them, as it could not copy them from another.
     Prefilling,
-    /// It has them in its cache.
+    /// The upstream has cached them.
     Cached,
 }
 
@@ -351,12 +352,12 @@
     pub waiting: u64,
 }
 
-/// Loads of upstreams that their answers to a router contained.
+/// Upstream loads taken from the answers to a router.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observations {
     /// Whether the router's configuration is known to be the newest.
     pub current: bool,
-    /// The latest load of each upstream that one was received of.
+    /// The latest load received from each upstream.
     pub upstreams: Vec<Observation>,
 }
 
@@ -371,20 +372,20 @@
     pub failures: u32,
 }
 
-/// How long a router's requests waited since its last report.
+/// Waiting times of a router's requests since its last report, as sums.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delay {
     /// The pool of upstreams.
     pub pool: Arc<str>,
     /// The priority of the requests.
     pub priority: i32,
-    /// The sum of their waiting times beyond that without a queue, in milliseconds.
+    /// The sum of their extra waiting times due to queueing, in milliseconds.
     pub waited_ms: u32,
-    /// The sum of the numbers of requests that were queued before them.
+    /// The sum of their positions in the queue.
     pub queued: u32,
 }
 
-/// The load of an upstream as one of its answers contained it.
+/// The load of an upstream, taken from one of its answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
     /// The upstream.
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -1,7 +1,8 @@
 //! Frames between the processes of the fleet.
 //!
-//! A stream of the link carries length-prefixed [`Frame`]s. This crate is the
-//! only user of `bincode`.
+//! Streams of the link and datagrams between routers carry length-prefixed
+//! [`Frame`]s. Datagrams carry hints, which may be lost or wrong: they improve
+//! decisions only. This crate is the only user of `bincode`.
 
 mod codec;
 mod demands;
--- a/components/wire/src/permits.rs
+++ b/components/wire/src/permits.rs
@@ -1,10 +1,12 @@
-//! Requests for permits of a saturated pool, and the answers of the pool's owner.
+//! Claims of permits for a saturated pool, and the answers of the pool's owner.
+//!
+//! The owner is the router that issues the permits of the pool.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// A router's message to the owner of a pool.
+/// Claims, releases and held permits of a router, sent to the owner of a pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claims {
     /// The pool.
@@ -26,10 +28,10 @@
     pub number: u64,
     /// The workspace.
     pub workspace: Arc<str>,
-    /// The hash of the work, which identifies a caller that retries.
+    /// The hash of the work, by which retries of the same request are recognized.
     pub fingerprint: u64,
-    /// Lower values are served first.
-    pub urgency: i32,
+    /// Lower runs earlier.
+    pub priority: i32,
     /// Whether the request may be repeated.
     pub repeatable: bool,
     /// The target for the time to an answer, in milliseconds.
@@ -45,7 +47,7 @@
 pub struct Release {
     /// The number of the claim.
     pub number: u64,
-    /// The upstream of the permit; empty if none is known to be granted.
+    /// The upstream of the permit; empty if no permit is known to be granted.
     pub upstream: Arc<str>,
     /// How the permit was used.
     pub end: Finish,
@@ -62,7 +64,8 @@
     Full,
     /// The upstream failed or could not be reached.
     Failed,
-    /// The request was not sent, or its caller cancelled it.
+    /// The attempt says nothing about the upstream: the request was not sent, was cancelled or has
+    /// expired, for example.
     Unused,
 }
 
@@ -98,13 +101,13 @@
 pub enum ClaimState {
     /// The request may be sent to this upstream.
     Granted(Arc<str>),
-    /// The request is refused; the caller may retry after so many milliseconds.
+    /// The request is refused; the caller may retry after this time in milliseconds.
     Refused(u32),
     /// The claim waits at the owner.
     Queued,
 }
 
-/// A pool is saturated: routers need permits of its owner.
+/// The saturation of a pool. While it lasts, routers need permits of the pool's owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Saturated {
     /// The pool.
--- a/components/wire/tests/codec.rs
+++ b/components/wire/tests/codec.rs
@@ -150,7 +150,7 @@
         let mut read = Vec::new();
         for part in bytes.chunks(cut) {
             reader.push(part);
-            while let Some(frame) = reader.frame().expect("it is a frame") {
+            while let Some(frame) = reader.next_frame().expect("it is a frame") {
                 read.push(frame);
             }
         }
@@ -162,7 +162,7 @@
     fn invalid_bytes_are_refused_or_incomplete(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut reader = Reader::default();
         reader.push(&bytes);
-        while let Ok(Some(_)) = reader.frame() {}
+        while let Ok(Some(_)) = reader.next_frame() {}
     }
 }
 
@@ -170,7 +170,7 @@
 fn refuses_an_oversized_length_before_its_bytes_arrive() {
     let mut reader = Reader::default();
     reader.push(&u32::MAX.to_be_bytes());
-    assert!(matches!(reader.frame(), Err(Error::TooLong { .. })));
+    assert!(matches!(reader.next_frame(), Err(Error::TooLong { .. })));
 }
 
 #[test]
--- a/tests/platform/hints.rs
+++ b/tests/platform/hints.rs
@@ -17,7 +17,7 @@
     let length = socket.recv(&mut datagram).expect("a datagram");
     let mut reader = Reader::default();
     reader.push(&datagram[..length]);
-    reader.frame().expect("a frame").expect("a whole frame")
+    reader.next_frame().expect("a frame").expect("a whole frame")
 }
 
 /// The next hint that comes to a router's stand-in.
