--- a/components/router/src/core.rs
+++ b/components/router/src/core.rs
@@ -64,8 +64,8 @@
     state: RefCell<State>,
     /// Notified when the first configuration is applied.
     first_plan: Notify,
-    started: Millis,
-    requests: Cell<u64>,
+    started_at: Millis,
+    request_count: Cell<u64>,
 }
 
 impl Core {
@@ -79,10 +79,10 @@
         reload: watch::Receiver<settings::Router>,
     ) -> (Rc<Self>, Receiver<Effect>) {
         let clock = Clock::new();
-        let started = clock.now();
-        let mut state = State::new(settings.routing.clone(), started.0);
+        let started_at = clock.now();
+        let mut state = State::new(settings.routing.clone(), started_at.0);
         if let Some(plan) = plan {
-            state.apply(Event::Configure(plan), started);
+            state.apply(Event::Configure(plan), started_at);
         }
         let store = match &settings.store_url {
             Some(url) => store::Store::new(url).await.ok(),
@@ -98,7 +98,7 @@
             reload,
             store,
             clients,
-            fleet: Fleet::new(own_peer, started),
+            fleet: Fleet::new(own_peer, started_at),
             query_client: QueryClient::new(hello),
             decisions: RefCell::new(Decisions::new(settings.routing.decisions)),
             directory_updates,
@@ -110,8 +110,8 @@
             settings,
             state: RefCell::new(state),
             first_plan: Notify::new(),
-            started,
-            requests: Cell::new(0),
+            started_at,
+            request_count: Cell::new(0),
         });
         (core, queued_updates)
     }
@@ -353,9 +353,9 @@
     /// Number and public id of a new request. The id contains the router's name, its start time and
     /// the number.
     pub(crate) fn next_id(&self) -> (u64, Arc<str>) {
-        let number = self.requests.get() + 1;
-        self.requests.set(number);
-        let id = format!("{}-{:x}-{number:x}", self.settings.name, self.started.0);
+        let number = self.request_count.get() + 1;
+        self.request_count.set(number);
+        let id = format!("{}-{:x}-{number:x}", self.settings.name, self.started_at.0);
         (number, id.into())
     }
 
--- a/components/router/src/crashes.rs
+++ b/components/router/src/crashes.rs
@@ -18,7 +18,7 @@
 use crate::core::Core;
 use crate::feed::RETRY_INTERVAL;
 
-/// The most crashes in one report; about 24 KB.
+/// The most crashes in one report; older ones are dropped.
 const MAX_CRASHES: usize = 256;
 
 /// The longest lease that the platform grants.
@@ -27,25 +27,25 @@
 /// Crashes observed by this router.
 #[derive(Debug, Default)]
 pub(crate) struct Crashes {
-    /// Crashes to report, newest last.
-    own: RefCell<VecDeque<Crash>>,
+    /// Crashes in the current report, newest last.
+    reported: RefCell<VecDeque<Crash>>,
     /// Upstreams to check, with their addresses.
     pending_checks: RefCell<BTreeMap<Arc<str>, Arc<str>>>,
-    to_check: Notify,
-    to_report: Notify,
+    check_requested: Notify,
+    report_requested: Notify,
 }
 
 impl Crashes {
     /// Schedules a check of an upstream.
     pub(crate) fn check(&self, upstream: &Arc<str>, address: &Arc<str>) {
         self.pending_checks.borrow_mut().insert(upstream.clone(), address.clone());
-        self.to_check.notify_one();
+        self.check_requested.notify_one();
     }
 
     /// Schedules a report of `crashes`.
     pub(crate) fn add(&self, crashes: &[Crash]) {
         self.push(crashes);
-        self.to_report.notify_one();
+        self.report_requested.notify_one();
     }
 
     /// Schedules a report that work is cleared, which replaces the reports of its crashes.
@@ -56,11 +56,11 @@
 
     /// Withdraws the reported crashes of the given fingerprints.
     pub(crate) fn withdraw(&self, fingerprints: &[u64]) {
-        let mut own = self.own.borrow_mut();
-        let before = own.len();
-        own.retain(|crash| crash.cleared || !fingerprints.contains(&crash.fingerprint));
-        if own.len() < before {
-            self.to_report.notify_one();
+        let mut reported = self.reported.borrow_mut();
+        let before = reported.len();
+        reported.retain(|crash| crash.cleared || !fingerprints.contains(&crash.fingerprint));
+        if reported.len() < before {
+            self.report_requested.notify_one();
         }
     }
 
@@ -71,27 +71,27 @@
 
     /// Schedules a new report after the stored one was lost.
     pub(crate) fn report_again(&self) {
-        if !self.own.borrow().is_empty() {
-            self.to_report.notify_one();
+        if !self.reported.borrow().is_empty() {
+            self.report_requested.notify_one();
         }
     }
 
     fn push(&self, crashes: &[Crash]) {
-        let mut own = self.own.borrow_mut();
+        let mut reported = self.reported.borrow_mut();
         for crash in crashes {
-            if !own.contains(crash) {
-                own.push_back(crash.clone());
+            if !reported.contains(crash) {
+                reported.push_back(crash.clone());
             }
         }
-        let surplus = own.len().saturating_sub(MAX_CRASHES);
-        own.drain(..surplus);
+        let surplus = reported.len().saturating_sub(MAX_CRASHES);
+        reported.drain(..surplus);
     }
 
     /// The crashes to report: those younger than `retention`.
     fn reportable(&self, retention: Millis, now: Millis) -> Vec<Crash> {
-        let mut own = self.own.borrow_mut();
-        own.retain(|crash| crash.at.until(now) < retention);
-        own.iter().cloned().collect()
+        let mut reported = self.reported.borrow_mut();
+        reported.retain(|crash| crash.at.until(now) < retention);
+        reported.iter().cloned().collect()
     }
 }
 
@@ -99,7 +99,7 @@
 pub(crate) async fn run_checks(core: Rc<Core>) {
     let mut checks = JoinSet::new();
     loop {
-        core.crashes.to_check.notified().await;
+        core.crashes.check_requested.notified().await;
         let pending_checks = std::mem::take(&mut *core.crashes.pending_checks.borrow_mut());
         for (upstream, address) in pending_checks {
             checks.spawn_local(check_upstream(core.clone(), upstream, address));
@@ -123,7 +123,7 @@
 pub(crate) async fn run_reports(core: Rc<Core>) {
     let mut lease = None;
     loop {
-        core.crashes.to_report.notified().await;
+        core.crashes.report_requested.notified().await;
         while let Err(error) = write_report(&core, &mut lease).await {
             warn!("crash report not written", kv: { reason = error.to_string() });
             lease = None;
--- a/components/router/src/shared.rs
+++ b/components/router/src/factory.rs
@@ -1,4 +1,4 @@
-//! State shared by the two listeners of a router on a platform.
+//! Creates the state shared by the two listeners of a router on a platform.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -22,14 +22,14 @@
 
 /// The inputs to create the shared state.
 #[derive(Clone)]
-pub(crate) struct Shared {
+pub(crate) struct CoreFactory {
     pub settings: Arc<settings::Router>,
     pub connect: Connect,
     pub stop: process::Stop,
     pub reload: watch::Receiver<settings::Router>,
 }
 
-impl Shared {
+impl CoreFactory {
     /// The state of this thread, created by the first listener.
     pub(crate) async fn core(&self) -> Rc<Core> {
         let cell = CORE.with(Rc::clone);
--- a/components/router/src/feed/facts.rs
+++ b/components/router/src/feed/facts.rs
@@ -28,9 +28,9 @@
     routers: BTreeSet<Arc<str>>,
     /// The configuration of the highest generation; only this one is compiled.
     newest: Option<Box<Document>>,
-    /// Upstreams saved by an earlier poller.
+    /// Upstreams saved by the router that writes for the fleet.
     saved_hosts: Vec<Host>,
-    /// Warm prefixes saved by an earlier poller.
+    /// Warm prefixes saved by the same router.
     saved_prefixes: Bytes,
 }
 
--- a/components/router/src/hints.rs
+++ b/components/router/src/hints.rs
@@ -1,4 +1,6 @@
 //! Exchange of hints between the routers of a fleet: warm prefixes, loads and outcomes.
+//!
+//! Claims, verdicts and reports of crashes arrive at the same socket.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/components/router/src/http.rs
+++ b/components/router/src/http.rs
@@ -30,7 +30,7 @@
 /// Request headers that are forwarded to the upstream.
 const FORWARDED: [&str; 3] = ["content-type", "accept", "last-event-id"];
 
-type Shared = State<Rc<Core>>;
+type SharedCore = State<Rc<Core>>;
 
 pub(crate) fn routes(config: &mut web::ServiceConfig) {
     config
@@ -133,7 +133,7 @@
     }
 }
 
-async fn chat(request: HttpRequest, payload: Payload, core: Shared) -> HttpResponse {
+async fn chat(request: HttpRequest, payload: Payload, core: SharedCore) -> HttpResponse {
     let (caller, body) = match receive(&core, &request, payload).await {
         Ok(received) => received,
         Err(refusal) => return refusal,
@@ -161,7 +161,7 @@
     relay(&core, arrival, template).await
 }
 
-async fn service(request: HttpRequest, payload: Payload, core: Shared) -> HttpResponse {
+async fn service(request: HttpRequest, payload: Payload, core: SharedCore) -> HttpResponse {
     let (caller, body) = match receive(&core, &request, payload).await {
         Ok(received) => received,
         Err(refusal) => return refusal,
@@ -199,7 +199,7 @@
     if rest.starts_with('/') { rest.to_owned() } else { format!("/{rest}") }
 }
 
-async fn relay(core: &Shared, arrival: Arrival, template: Template) -> HttpResponse {
+async fn relay(core: &SharedCore, arrival: Arrival, template: Template) -> HttpResponse {
     let request = arrival.request.clone();
     let mut relay = Relay::start(core.get_ref().clone(), arrival, template);
     let (head, upstream) = match relay.next().await {
@@ -253,7 +253,7 @@
     }
 }
 
-async fn mint_key(request: HttpRequest, kind: Path<String>, core: Shared) -> HttpResponse {
+async fn mint_key(request: HttpRequest, kind: Path<String>, core: SharedCore) -> HttpResponse {
     let caller = match Caller::check(&core, &request) {
         Ok(caller) => caller,
         Err(refusal) => return refusal,
@@ -264,7 +264,7 @@
     }
 }
 
-async fn explain(request: HttpRequest, id: Path<String>, core: Shared) -> HttpResponse {
+async fn explain(request: HttpRequest, id: Path<String>, core: SharedCore) -> HttpResponse {
     let caller = match Caller::check(&core, &request) {
         Ok(caller) => caller,
         Err(refusal) => return refusal,
@@ -276,23 +276,23 @@
     }
 }
 
-pub(crate) async fn ready(core: Shared) -> HttpResponse {
+pub(crate) async fn ready(core: SharedCore) -> HttpResponse {
     if core.is_ready() {
         return HttpResponse::Ok().body("ready\n");
     }
     HttpResponse::ServiceUnavailable().body("not ready\n")
 }
 
-pub(crate) async fn status(core: Shared) -> HttpResponse {
+pub(crate) async fn status(core: SharedCore) -> HttpResponse {
     HttpResponse::Ok().json(&core.status())
 }
 
-pub(crate) async fn metrics(core: Shared) -> HttpResponse {
+pub(crate) async fn metrics(core: SharedCore) -> HttpResponse {
     core.fleet().record_metrics(&core.metrics);
     HttpResponse::Ok().content_type("text/plain; version=0.0.4").body(core.metrics.render())
 }
 
-async fn not_found(mut payload: Payload, core: Shared) -> HttpResponse {
+async fn not_found(mut payload: Payload, core: SharedCore) -> HttpResponse {
     body::discard(&mut payload).await;
     let (_, request) = core.next_id();
     refusal(&core, Kind::NotFound, &request, "")
--- a/components/router/src/ingress.rs
+++ b/components/router/src/ingress.rs
@@ -21,7 +21,7 @@
 /// The load of one request: upstreams that are reached directly are compared by requests.
 const REQUEST_WEIGHT: u64 = 1;
 
-type Shared = State<Rc<Core>>;
+type SharedCore = State<Rc<Core>>;
 
 /// Routes for operators and the platform.
 pub(crate) fn operators(config: &mut web::ServiceConfig, ready: &str) {
@@ -36,7 +36,7 @@
 pub(crate) async fn serve(
     request: HttpRequest,
     mut payload: Payload,
-    core: Shared,
+    core: SharedCore,
 ) -> HttpResponse {
     let headers = headers::collect(request.headers());
     let metadata = core.edges().dialect.parse_request(&headers);
@@ -148,7 +148,7 @@
 }
 
 async fn relay(
-    core: &Shared,
+    core: &SharedCore,
     request: &HttpRequest,
     arrival: Arrival,
     template: Template,
--- a/components/router/src/peers.rs
+++ b/components/router/src/peers.rs
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Sends a frame to all others, in large fleets by way of neighbours; returns the bytes sent at
-    /// once.
+    /// Sends a frame to all others, in large fleets by way of neighbours; returns the bytes sent,
+    /// which is 0 if the frame is queued for neighbours.
     pub(crate) fn broadcast(&self, frame: Frame, now: Millis) -> usize {
         if self.is_large() {
             self.forward(Origin::Own, frame, 0, now);
--- a/components/router/src/server.rs
+++ b/components/router/src/server.rs
@@ -14,7 +14,7 @@
 
 use crate::core::Core;
 use crate::error::{BindSnafu, Error, SocketSnafu};
-use crate::shared::Shared;
+use crate::factory::CoreFactory;
 use crate::{background, http, ingress};
 
 /// How long a caller may take to send the headers.
@@ -86,13 +86,13 @@
         let (operators, _) = process::bind(operators).context(BindSnafu)?;
         let stop = process::Stop::new();
         let reload = watch::Sender::new((*settings).clone());
-        let shared = Shared {
+        let factory = CoreFactory {
             settings: settings.clone(),
             connect,
             stop: stop.clone(),
             reload: reload.subscribe(),
         };
-        let server = serve(shared, listener, operators)?;
+        let server = serve(factory, listener, operators)?;
         Ok(Self { settings, address, server, stop, reload })
     }
 
@@ -129,8 +129,12 @@
 }
 
 /// Serves callers and operators on one thread with shared state.
-fn serve(shared: Shared, callers: TcpListener, operators: TcpListener) -> Result<Server, Error> {
-    let (for_callers, for_operators) = (shared.clone(), shared);
+fn serve(
+    factory: CoreFactory,
+    callers: TcpListener,
+    operators: TcpListener,
+) -> Result<Server, Error> {
+    let (for_callers, for_operators) = (factory.clone(), factory);
     let config: SharedCfg =
         SharedCfg::new("router").add(limits().set_keepalive(IDLE_TIMEOUT)).into();
     let operators_config = config.clone();
