--- a/components/router/src/body.rs
+++ b/components/router/src/body.rs
@@ -33,12 +33,12 @@
 /// Gives up on bodies that are too large or too slow.
 pub(crate) async fn discard(payload: &mut Payload) {
     let discarding = async {
-        let mut left = MAX_DISCARDED_BYTES;
+        let mut remaining = MAX_DISCARDED_BYTES;
         while let Some(Ok(bytes)) = payload.recv().await {
-            if bytes.len() > left {
+            if bytes.len() > remaining {
                 return;
             }
-            left -= bytes.len();
+            remaining -= bytes.len();
         }
     };
     let _ = tokio::time::timeout(DISCARD_TIMEOUT, discarding).await;
--- a/components/router/src/core.rs
+++ b/components/router/src/core.rs
@@ -286,8 +286,8 @@
 
     /// Whether callers should reconnect, so that another router serves them.
     pub(crate) fn should_reconnect(&self, kind: Kind) -> bool {
-        let elsewhere = || self.state.borrow().has_current_peer(self.clock.now());
-        self.stop.is_asked() || (kind == Kind::StaleConfiguration && elsewhere())
+        let has_current_peer = || self.state.borrow().has_current_peer(self.clock.now());
+        self.stop.is_asked() || (kind == Kind::StaleConfiguration && has_current_peer())
     }
 
     /// Whether upstreams are reached directly.
--- a/components/router/src/peers.rs
+++ b/components/router/src/peers.rs
@@ -80,9 +80,9 @@
     /// Replaces the set of known routers.
     pub(crate) fn set_routers(&self, routers: &BTreeMap<Arc<str>, Peer>) {
         let is_other = |peer: &&Peer| peer.name != self.name;
-        let address_of = |peer: &Peer| Some((peer.name.clone(), peer.hints?));
+        let to_entry = |peer: &Peer| Some((peer.name.clone(), peer.hints?));
         let others: BTreeMap<_, _> =
-            routers.values().filter(is_other).filter_map(address_of).collect();
+            routers.values().filter(is_other).filter_map(to_entry).collect();
         let names = others.iter().map(|(name, address)| (*address, name.clone())).collect();
         self.names.replace(names);
         let known = self.others.replace(others);
--- a/components/router/src/permits.rs
+++ b/components/router/src/permits.rs
@@ -152,14 +152,14 @@
     /// A snapshot of the pools owned by this router, for `/status`.
     pub(crate) fn snapshot(&self, now: Millis) -> Vec<serde_json::Value> {
         let owned = self.owned.borrow();
-        let one = |(pool, owned): (&Arc<str>, &Owned)| {
+        let to_json = |(pool, owned): (&Arc<str>, &Owned)| {
             let Snapshot { limit, in_flight, waiting, rate } = owned.issuer.snapshot(now);
             serde_json::json!({
                 "pool": &**pool, "limit": limit, "in_flight": in_flight, "waiting": waiting,
                 "answers_per_1000_s": rate,
             })
         };
-        owned.iter().map(one).collect()
+        owned.iter().map(to_json).collect()
     }
 
     fn requester<T>(
@@ -240,10 +240,10 @@
         }
         let routers = core.fleet().routers(now);
         let own = &core.settings.name;
-        let first = permits::owner(pool, &routers).filter(|owner| owner.name != *own);
+        let remote_owner = permits::owner(pool, &routers).filter(|owner| owner.name != *own);
         let owner = Owner {
-            name: first.map_or_else(|| own.clone(), |owner| owner.name.clone()),
-            address: first.and_then(|owner| owner.hints),
+            name: remote_owner.map_or_else(|| own.clone(), |owner| owner.name.clone()),
+            address: remote_owner.and_then(|owner| owner.hints),
             cached_at: now,
         };
         if known.is_none_or(|previous| previous.name != owner.name) {
--- a/components/router/src/report.rs
+++ b/components/router/src/report.rs
@@ -103,7 +103,7 @@
 /// How the workspace of a refused request compares to its share of the pool; empty for other
 /// requests.
 fn format_standing(decision: &Decision) -> String {
-    let one = |standing: Standing| {
+    let format = |standing: Standing| {
         let age = or_none(standing.age_ms);
         let (rank, times) = (standing.rank.name(), standing.rank.excess_ratio());
         let Standing { share, demand, served, .. } = standing;
@@ -111,13 +111,13 @@
             "{rank},times={times:.1},share={share:.1},demand={demand:.1},served={served:.1},age={age}"
         )
     };
-    decision.standing.map_or_else(String::new, one)
+    decision.standing.map_or_else(String::new, format)
 }
 
 /// One word per attempt: upstream, time since arrival, estimated load, queued requests and their
 /// wait, tokens to read and to copy, the upstream to copy from, and the error.
 fn format_tries(decision: &Decision) -> String {
-    let one = |attempt: &Try| {
+    let format = |attempt: &Try| {
         let error: &'static str = attempt.error.map_or("ok", Into::into);
         let warm = attempt.warm.as_deref().unwrap_or("-");
         let (copied, read) = (attempt.copied, attempt.read);
@@ -127,5 +127,5 @@
             attempt.upstream, attempt.load, attempt.queued, attempt.wait_ms
         )
     };
-    decision.tries.iter().map(one).collect::<Vec<_>>().join(" ")
+    decision.tries.iter().map(format).collect::<Vec<_>>().join(" ")
 }
--- a/components/router/src/saturation.rs
+++ b/components/router/src/saturation.rs
@@ -10,10 +10,10 @@
 
 /// The saturated pools, each with its largest workspaces and their shares.
 pub(crate) fn snapshot(state: &State, now: Millis) -> serde_json::Value {
-    let standing = |(workspace, standing): (Arc<str>, Standing)| serde_json::json!({ "workspace": &*workspace, "standing": standing });
-    let pool = |(pool, largest): (Arc<str>, Vec<(Arc<str>, Standing)>)| {
-        let largest: Vec<_> = largest.into_iter().map(standing).collect();
+    let workspace_json = |(workspace, standing): (Arc<str>, Standing)| serde_json::json!({ "workspace": &*workspace, "standing": standing });
+    let pool_json = |(pool, largest): (Arc<str>, Vec<(Arc<str>, Standing)>)| {
+        let largest: Vec<_> = largest.into_iter().map(workspace_json).collect();
         serde_json::json!({ "pool": &*pool, "largest": largest })
     };
-    state.largest_shares(MAX_WORKSPACES, now).into_iter().map(pool).collect()
+    state.largest_shares(MAX_WORKSPACES, now).into_iter().map(pool_json).collect()
 }
--- a/components/router/src/target.rs
+++ b/components/router/src/target.rs
@@ -33,16 +33,18 @@
         metadata: &Metadata,
     ) -> Result<Self, Kind> {
         let plan = core.plan().ok_or(Kind::NoConfiguration)?;
-        let unknown = |kind| if core.is_authoritative() { kind } else { Kind::StaleConfiguration };
+        let unless_stale =
+            |kind| if core.is_authoritative() { kind } else { Kind::StaleConfiguration };
         let host = requested_host(request);
-        let kind = plan.match_path(&host, request.path()).ok_or(Kind::NotFound).map_err(unknown)?;
+        let kind =
+            plan.match_path(&host, request.path()).ok_or(Kind::NotFound).map_err(unless_stale)?;
         let holder = metadata.key.as_deref().and_then(|key| plan.workspace_by_key(key));
         let caller = match holder {
             Some(workspace) => Some(workspace),
             None if kind.anonymous => plan.anonymous_workspace(),
             None => None,
         };
-        let workspace = caller.ok_or(Kind::Unauthorized).map_err(unknown)?;
+        let workspace = caller.ok_or(Kind::Unauthorized).map_err(unless_stale)?;
         let model = metadata.model.clone().filter(|model| kind.events && plan.has_model(model));
         Ok(Self {
             workspace: workspace.clone(),
