--- a/components/router/src/core.rs
+++ b/components/router/src/core.rs
@@ -380,7 +380,7 @@
                 serde_json::json!({
                     "name": &**upstream.name(),
                     "incarnation": upstream.incarnation(),
-                    "load": upstream.load(),
+                    "load": upstream.reported_load(),
                     "up": upstream.is_up(now),
                     "leaving": upstream.is_leaving(),
                     "rest_ms": upstream.backoff(now).0,
--- a/components/routing/src/admission.rs
+++ b/components/routing/src/admission.rs
@@ -140,7 +140,7 @@
         let Some(last) = request.tries.last_mut().filter(|last| last.is_waiting) else { return };
         last.is_waiting = false;
         if let Some(upstream) = self.upstreams.get_mut(&last.upstream) {
-            upstream.record_answer_start(weight);
+            upstream.remove_waiting(weight);
         }
         let flow = self.flows.entry(pool).or_default();
         flow.record_start(priority, last.sent.until(now), last.queued, now);
--- a/components/routing/src/beliefs/cold.rs
+++ b/components/routing/src/beliefs/cold.rs
@@ -22,16 +22,16 @@
 /// Share of the limit that is divided into quotas; the rest is a margin for delayed requests.
 const ALLOCATED_RATIO: f64 = 0.9;
 
-/// How long a router has no quota after its start, until all others have counted it: two polls
-/// of the store and a margin.
+/// How long after its first list of routers this router uses no quota, until all others have
+/// counted it: two polls of the store and a margin.
 const SETTLE_DELAY: Millis = Millis(3_500);
 
 /// Maximum age of the latest poll of the store at which the quota is valid: later this router
 /// may not know of routers that have started.
 const MAX_POLL_AGE: Millis = Millis(2_500);
 
-/// How long a router keeps its quota after its announcement has disappeared: it may be draining,
-/// or its announcement may have lapsed in an outage of the store.
+/// How long a router is still counted after its announcement has disappeared: it may be draining,
+/// or its announcement may have expired in an outage of the store.
 const DEPARTED_RETENTION: Millis = Millis(10_000);
 
 /// The routers that share the limits of cold upstreams.
@@ -43,7 +43,7 @@
     /// Routers whose announcements have disappeared, and when.
     departed: Vec<(Arc<str>, Millis)>,
     /// When this router first received a list of routers.
-    since: Option<Millis>,
+    listed_since: Option<Millis>,
 }
 
 impl Members {
@@ -55,22 +55,22 @@
             .retain(|(name, at)| at.until(now) < DEPARTED_RETENTION && !announced.contains(name));
         self.own = own;
         self.announced = announced;
-        self.since.get_or_insert(now);
+        self.listed_since.get_or_insert(now);
     }
 
     /// Whether enough time has passed for the other routers to count this one.
     pub(crate) fn is_settled(&self, now: Millis) -> bool {
-        self.since.is_some_and(|at| at.until(now) >= SETTLE_DELAY)
+        self.listed_since.is_some_and(|at| at.until(now) >= SETTLE_DELAY)
     }
 
-    /// A hash of this router's name, once it is known.
+    /// A hash of this router's name, for its share of free capacity; `None` until it is known.
     pub(crate) fn router_key(&self) -> Option<u64> {
         (!self.own.is_empty()).then(|| key("seat", &self.own))
     }
 
     /// This router's share of `limit` requests to `upstream`. The remainder of the division goes
     /// to the routers that rank first for the upstream.
-    fn quota(&self, upstream: &str, limit: u32, now: Millis) -> u32 {
+    fn share_of(&self, upstream: &str, limit: u32, now: Millis) -> u32 {
         let departed = self.departed.iter().filter(|(_, at)| at.until(now) < DEPARTED_RETENTION);
         let others = self.announced.iter().chain(departed.map(|(name, _)| name));
         let upstream_key = key("cold", upstream);
@@ -148,7 +148,8 @@
         self.allocate_quotas(now);
     }
 
-    /// Marks an upstream as cold for `remaining` from now on.
+    /// Extends the cold time of an upstream to at least `remaining`; ignored before the first
+    /// configuration.
     pub(crate) fn mark_cold(&mut self, upstream: &str, remaining: Millis, now: Millis) {
         let Some(plan) = self.plan.clone() else { return };
         if let Some(upstream) = self.upstreams.get_mut(upstream) {
@@ -157,8 +158,8 @@
         }
     }
 
-    /// Marks the upstreams of restored failure domains as cold for the cold time of their pools,
-    /// until they report their own.
+    /// Marks the upstreams of restored failure domains as cold for at least the cold time of their
+    /// pools.
     pub(crate) fn mark_domains_cold(&mut self, domains: &BTreeSet<Arc<str>>, now: Millis) {
         let Some(plan) = self.plan.clone() else { return };
         for upstream in
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Whether this router may use its quotas: all routers are known to count each other.
+    /// Whether this router may use its quotas: all routers should by now count each other.
     pub(crate) fn has_valid_quota(&self, now: Millis) -> bool {
         let polled = self.confirmed_at.is_some_and(|at| at.until(now) <= MAX_POLL_AGE);
         polled && self.members.is_settled(now)
@@ -189,7 +190,7 @@
 
     /// The time until the first cold or backing-off upstream of a pool takes a request of this
     /// router; `None` if there is no such upstream.
-    pub(crate) fn available_in(&self, pool: &str, now: Millis) -> Option<Millis> {
+    pub(crate) fn pool_available_in(&self, pool: &str, now: Millis) -> Option<Millis> {
         let is_pending = |upstream: &&Upstream| {
             let later = upstream.cold_start.is_cold(now) || upstream.notice.is_backing_off(now);
             later && !upstream.is_leaving() && !upstream.evacuated && &*upstream.pool() == pool
@@ -210,13 +211,13 @@
     members: &Members,
     now: Millis,
 ) -> u32 {
-    let limit = limit(upstream, plan, settings);
-    limit.map_or(u32::MAX, |limit| members.quota(&upstream.host.name, limit, now))
+    let limit = pool_limit(upstream, plan, settings);
+    limit.map_or(u32::MAX, |limit| members.share_of(&upstream.host.name, limit, now))
 }
 
 /// How many requests per window all routers together may send to a cold upstream; `None` where
-/// its pool has no limit.
-fn limit(upstream: &Upstream, plan: &Plan, settings: &Settings) -> Option<u32> {
+/// its pool has no limit. A window counts as one second, and the rest of it is a margin.
+fn pool_limit(upstream: &Upstream, plan: &Plan, settings: &Settings) -> Option<u32> {
     let pool = plan.pool(&upstream.pool()).filter(|pool| pool.cold_per_s > 0.0)?;
     let limit = (pool.cold_per_s * settings.cold_multiple + settings.cold_extra) * ALLOCATED_RATIO;
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "small, positive")]
--- a/components/routing/src/beliefs/fleet.rs
+++ b/components/routing/src/beliefs/fleet.rs
@@ -112,7 +112,7 @@
                 self.pending_effects
                     .push(Effect::Recovered { upstream: upstream.host.name.clone() });
             }
-            upstream.mark_connected();
+            upstream.mark_responsive();
         }
         Vec::new()
     }
--- a/components/routing/src/beliefs/health.rs
+++ b/components/routing/src/beliefs/health.rs
@@ -23,7 +23,7 @@
     successes: f64,
     failures: f64,
     at: Millis,
-    /// Successes and failures of own requests that other routers have not been sent.
+    /// Successes and failures of own requests that are not yet reported to other routers.
     unreported: (u32, u32),
 }
 
@@ -42,7 +42,7 @@
         self.unreported = (self.unreported.0 + successes, self.unreported.1 + failures);
     }
 
-    /// Adds outcomes, of this or another router.
+    /// Adds outcomes of this or another router.
     pub(crate) fn add(&mut self, successes: u32, failures: u32, now: Millis) {
         let known = self.outcomes(now);
         self.successes = known.successes + f64::from(successes);
@@ -50,7 +50,7 @@
         self.at = now;
     }
 
-    /// Takes the successes and failures of own requests since the last call, if there are any.
+    /// Takes the unreported successes and failures, if there are any.
     pub(crate) fn take_unreported(&mut self) -> Option<(u32, u32)> {
         let unreported = std::mem::take(&mut self.unreported);
         (unreported != (0, 0)).then_some(unreported)
--- a/components/routing/src/beliefs/loads.rs
+++ b/components/routing/src/beliefs/loads.rs
@@ -16,10 +16,11 @@
 /// How long the loads of a router count after its last report.
 const LOADS_TTL: Millis = Millis(2_000);
 
-/// How long information from other routers counts as known after the last message with it.
+/// How long a kind of message counts as being exchanged after the last one of any router.
 const MESSAGE_TTL: Millis = Millis(1_000);
 
-/// Maximum number of upstreams in one message, so that it fits one datagram.
+/// Maximum number of upstreams in a message of outcomes or observations, so that it fits one
+/// datagram.
 const MAX_ENTRIES: usize = 40;
 
 /// What other routers have reported.
@@ -31,7 +32,7 @@
     loads_at: Option<Millis>,
     /// When observations of any router were last received.
     observations_at: Option<Millis>,
-    /// When another router last reported that its configuration is current.
+    /// When another router last reported that its configuration was confirmed.
     current_at: Option<Millis>,
 }
 
@@ -55,19 +56,19 @@
         }
     }
 
-    /// Whether other routers share the load observations from their answers.
+    /// Whether any other router has recently sent observations.
     pub(crate) fn has_observations(&self, now: Millis) -> bool {
         self.observations_at.is_some_and(|at| at.until(now) < MESSAGE_TTL)
     }
 
-    /// Whether the loads of other routers are known.
+    /// Whether any other router has recently sent loads.
     pub(crate) fn has_loads(&self, now: Millis) -> bool {
         self.loads_at.is_some_and(|at| at.until(now) < MESSAGE_TTL)
     }
 }
 
 impl State {
-    /// Takes the loads of another router.
+    /// Records the loads received from another router.
     pub(crate) fn receive_loads(&mut self, loads: Loads, now: Millis) {
         self.record_current(loads.current, now);
         self.peers.record(loads, &mut self.upstreams, now);
@@ -79,17 +80,18 @@
         }
     }
 
-    /// Whether another router has a current configuration, so that it can serve callers.
+    /// Whether another router has recently reported that its configuration was confirmed, so that
+    /// it can serve callers.
     pub fn has_current_peer(&self, now: Millis) -> bool {
         self.peers.current_at.is_some_and(|at| at.until(now) < MESSAGE_TTL)
     }
 
-    /// Whether this router's configuration is recent enough to be ready.
-    fn has_current_plan(&self, now: Millis) -> bool {
+    /// Whether the configuration was confirmed within `ready_ms`.
+    fn has_confirmed_plan(&self, now: Millis) -> bool {
         self.plan.is_some() && self.is_confirmed_within(self.settings.ready_ms, now)
     }
 
-    /// Takes the load observations of another router.
+    /// Records the load observations received from another router.
     pub(crate) fn receive_observations(&mut self, observations: &Observations, now: Millis) {
         self.record_current(observations.current, now);
         self.peers.observations_at = Some(now);
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Takes the outcomes of another router's requests.
+    /// Records the outcomes received from another router.
     pub(crate) fn receive_outcomes(&mut self, outcomes: &[Outcome], now: Millis) -> Vec<Effect> {
         for outcome in outcomes {
             if let Some(upstream) = self.upstreams.get_mut(&outcome.upstream) {
@@ -112,7 +114,7 @@
         Vec::new()
     }
 
-    /// Takes the outcomes of own requests since the last call, for other routers.
+    /// Takes up to `MAX_ENTRIES` unreported outcomes of own requests, for other routers.
     pub fn take_outcomes(&mut self) -> Vec<Outcome> {
         let outcome = |upstream: &mut Upstream| {
             let (successes, failures) = upstream.health.take_unreported()?;
@@ -121,14 +123,14 @@
         self.upstreams.values_mut().filter_map(outcome).take(MAX_ENTRIES).collect()
     }
 
-    /// Takes the loads that answers have reported since the last call, for other routers.
+    /// Takes up to `MAX_ENTRIES` unreported load observations, for other routers.
     pub fn take_observations(&mut self, now: Millis) -> Observations {
         let observation = |upstream: &mut Upstream| {
             let (requests, waiting, at) = upstream.unreported_load.take()?;
             let age_ms = at.until(now).0;
             Some(Observation { upstream: upstream.name().clone(), requests, waiting, age_ms })
         };
-        let current = self.has_current_plan(now);
+        let current = self.has_confirmed_plan(now);
         Observations {
             current,
             upstreams: self
@@ -149,6 +151,6 @@
             waiting: upstream.own_waiting,
         };
         let upstreams = loaded.map(load).collect();
-        Loads { router: router.clone(), current: self.has_current_plan(now), upstreams }
+        Loads { router: router.clone(), current: self.has_confirmed_plan(now), upstreams }
     }
 }
--- a/components/routing/src/beliefs/outlook.rs
+++ b/components/routing/src/beliefs/outlook.rs
@@ -29,9 +29,9 @@
     pub router_key: Option<u64>,
     /// The mean load of the pool's upstreams, as answers report it.
     pub mean_load: f64,
-    /// Whether other routers report their loads.
+    /// Whether any other router has recently sent its loads.
     pub loads_known: bool,
-    /// Whether other routers share the load observations from their answers.
+    /// Whether any other router has recently sent load observations.
     pub observations_shared: bool,
     /// Whether this router may use its quotas for cold upstreams.
     pub quota_valid: bool,
--- a/components/routing/src/beliefs/pace.rs
+++ b/components/routing/src/beliefs/pace.rs
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Takes the paces that another router has recorded.
+    /// Records the paces received from another router.
     pub(crate) fn receive_paces(&mut self, paces: &[Pace], now: Millis) {
         for pace in paces {
             if let Some(upstream) = self.upstreams.get_mut(&pace.upstream) {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Takes the paces that upstreams have reported since the last call, for other routers.
+    /// Takes up to `MAX_ENTRIES` unreported paces, for other routers.
     pub fn take_paces(&mut self, now: Millis) -> Vec<Pace> {
         let mut unreported: Vec<&mut Upstream> = self
             .upstreams
--- a/components/routing/src/beliefs/upstream.rs
+++ b/components/routing/src/beliefs/upstream.rs
@@ -21,9 +21,8 @@
 /// Consecutive failures after which an upstream gets one request at a time until it answers.
 pub(crate) const FAILURES_BEFORE_PROBE: u32 = 2;
 
-/// Smallest copy, in tokens, that is requested from an upstream that has failed: a smaller
-/// one is computed faster than an unreachable source times out.
-const MIN_SUSPECT_COPY_TOKENS: u64 = 4_000;
+/// Smallest copy, in tokens, that is worth the risk of a timeout at a source that has failed.
+const MIN_RISKY_COPY_TOKENS: u64 = 4_000;
 
 /// Exclusion reason: the upstream failed recently.
 pub(crate) const SUSPECT: &str = "suspect";
@@ -48,22 +47,26 @@
 
 /// State of an upstream as this router knows it. It may be outdated; a sidecar makes the final
 /// decision on admission.
+///
+/// Loads are in the unit of request weights: tokens where sidecars report them, requests where
+/// upstreams are reached directly.
 #[derive(Clone, Debug)]
 pub struct Upstream {
     pub(crate) host: Host,
     pub(crate) labels: Labels,
     pub(crate) incarnation: u64,
-    /// Whether the connection was up when last checked.
+    /// Whether no new connection is needed.
     pub(crate) connected: bool,
     pub(crate) status: Status,
-    /// Load of this router's own requests, where the upstream is reached directly.
+    /// Load of this router's own requests; used where the upstream is reached directly.
     pub(crate) own_load: u64,
     /// Load of all other routers, as they report it.
     pub(crate) peer_load: u64,
-    /// Parts of the two loads whose answers have not begun.
+    /// Load of this router's requests whose answers have not begun.
     pub(crate) own_waiting: u64,
+    /// The same of all other routers.
     pub(crate) peer_waiting: u64,
-    /// Latest load from an answer that other routers have not been sent: total, waiting, time.
+    /// Latest observed load that is not yet reported to other routers: total, waiting and time.
     pub(crate) unreported_load: Option<(u64, u64, Millis)>,
     /// Load of all other routers by the latest observation, and its time.
     observed_load: (u64, Millis),
@@ -72,7 +75,7 @@
     pub(crate) last_activity: Option<Millis>,
     /// Consecutive failures.
     pub(crate) failures: u32,
-    /// Whether the last attempt to open a connection succeeded.
+    /// False after a failed attempt to connect, until the upstream responds.
     pub(crate) reachable: bool,
     pub(crate) suspect_until: Millis,
     /// Outcomes of recent requests.
@@ -83,7 +86,7 @@
     /// Notice from its answers: leaving or backing off.
     pub(crate) notice: Notice,
     pub(crate) pace: Pace,
-    /// Latest pace, in percent, that other routers have not been sent, and its time.
+    /// Latest pace, in percent, that is not yet reported to other routers, and its time.
     pub(crate) unreported_pace: Option<(u32, Millis)>,
 }
 
@@ -130,8 +133,8 @@
         self.labels.get(POOL_LABEL).cloned().unwrap_or_default()
     }
 
-    /// The latest load that the sidecar reported, in tokens, plus requests sent since.
-    pub fn load(&self) -> u64 {
+    /// The latest load that the sidecar reported, plus requests sent since.
+    pub fn reported_load(&self) -> u64 {
         self.status.load
     }
 
@@ -159,15 +162,15 @@
         self.suspect_until > now
     }
 
-    /// Whether the upstream has failed repeatedly and a probe request is under way.
+    /// Whether the upstream has failed repeatedly and has a request of this router, its probe.
     fn is_probed(&self) -> bool {
         self.failures >= FAILURES_BEFORE_PROBE && self.own_load > 0
     }
 
-    /// Whether another upstream may copy `tokens` tokens from this one. A copy from an upstream
-    /// that has crashed delays the request until it times out.
+    /// Whether another upstream may copy `tokens` tokens from this one. A copy from a crashed
+    /// upstream delays the request by the timeout of the copy.
     pub(crate) fn is_copy_source(&self, tokens: u64) -> bool {
-        self.reachable && (self.failures == 0 || tokens >= MIN_SUSPECT_COPY_TOKENS)
+        self.reachable && (self.failures == 0 || tokens >= MIN_RISKY_COPY_TOKENS)
     }
 
     /// Records the status of a sidecar; ignores that of an earlier incarnation.
@@ -178,7 +181,7 @@
         self.incarnation = status.incarnation;
         self.status = status;
         self.last_activity = Some(now);
-        self.mark_connected();
+        self.mark_responsive();
     }
 
     /// The load to assume. With sidecars it is the reported load; a router that reaches the
@@ -229,9 +232,8 @@
         self.observed_load.1 > Millis::ZERO || self.unreported_load.is_some()
     }
 
-    /// The load whose answers have not begun, which a further request waits for. `None` where
-    /// neither other routers nor answers report it: this router's own requests alone would say
-    /// little.
+    /// The waiting load that a further request queues behind; `None` if only this router's own is
+    /// known.
     pub(crate) fn estimated_waiting(&self, estimate: &Estimate) -> Option<u64> {
         let (_, observed_at) = self.observed_load;
         if estimate.loads_known {
@@ -241,8 +243,8 @@
         (observed_at > Millis::ZERO).then_some(self.own_waiting + others)
     }
 
-    /// Counts a request as no longer waiting: its answer has begun or will not come.
-    pub(crate) fn record_answer_start(&mut self, weight: u64) {
+    /// Removes the waiting load of a request whose answer has begun or will not come.
+    pub(crate) fn remove_waiting(&mut self, weight: u64) {
         self.own_waiting = self.own_waiting.saturating_sub(weight);
     }
 
@@ -254,13 +256,14 @@
         self.status.pool.load += weight;
     }
 
-    /// Removes the load of a request that has ended.
+    /// Removes the load of a request that has ended, but not its waiting load.
     pub(crate) fn remove_request(&mut self, weight: u64) {
         self.own_load = self.own_load.saturating_sub(weight);
     }
 
-    /// Resets all failure state: the upstream is connected and reachable.
-    pub(crate) fn mark_connected(&mut self) {
+    /// Marks the upstream as connected and reachable, and resets its consecutive failures and the
+    /// suspicion.
+    pub(crate) fn mark_responsive(&mut self) {
         self.connected = true;
         self.failures = 0;
         self.reachable = true;
@@ -286,8 +289,8 @@
         }
     }
 
-    /// Counts a failure and excludes the upstream for an exponential backoff, of which
-    /// `jitter`, from 0 to 1, varies the second half.
+    /// Counts a failure and excludes the upstream for a time between half of the exponential
+    /// backoff and all of it, by `jitter` from 0 to 1.
     pub(crate) fn mark_suspect(&mut self, settings: &Settings, jitter: f64, now: Millis) {
         let doublings = self.failures.min(MAX_DOUBLINGS);
         let base = settings.suspect_ms.saturating_mul(1 << doublings).min(settings.suspect_max_ms);
--- a/components/routing/src/recovery/quarantine.rs
+++ b/components/routing/src/recovery/quarantine.rs
@@ -2,8 +2,8 @@
 //!
 //! A request may crash every upstream that runs it, and callers retry it under new ids at other
 //! routers. Crashes are therefore counted by the fingerprint of the work and shared among the
-//! routers through the platform's store. Work that was ever answered in full is cleared at all
-//! routers.
+//! routers through the platform's store. Work that was recently answered in full is cleared at all
+//! routers once a crash is attributed to it.
 
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
@@ -15,19 +15,22 @@
 use crate::state::State;
 
 /// How long after a request was interrupted a crash of its upstream may be attributed to it.
-/// Entries of crashed upstreams lapse sooner.
+/// It exceeds the time for which the platform's list keeps a crashed upstream.
 const INTERRUPTED_TTL: Millis = Millis(10_000);
 
-/// Maximum number of interrupted requests that are kept for an upstream.
+/// Maximum number of interrupted requests that are kept for an upstream; later ones are not
+/// recorded.
 const MAX_INTERRUPTED: usize = 256;
 
-/// Maximum number of fingerprints with crashes.
+/// Maximum number of fingerprints with crashes; that with the oldest crash is evicted.
 const MAX_CRASHED: usize = 4_096;
 
-/// Maximum number of fingerprints that are kept as answered in full.
+/// Maximum number of fingerprints that are kept as answered in full; the oldest are evicted, and
+/// may be quarantined again.
 const MAX_ANSWERED: usize = 8_192;
 
-/// Maximum number of fingerprints that are kept as cleared.
+/// Maximum number of fingerprints that are kept as cleared; the oldest are evicted, and may be
+/// quarantined again.
 const MAX_CLEARED: usize = 4_096;
 
 /// A crash of an upstream while it ran a request, or the clearing of a request's work.
@@ -36,7 +39,7 @@
     /// The fingerprint of the requested work.
     #[serde(rename = "content")]
     pub fingerprint: u64,
-    /// The name of the upstream, which stands for one start; empty in a clearing.
+    /// The name of the upstream, which is unique to each of its starts; empty in a clearing.
     pub upstream: Arc<str>,
     /// When the crash was detected, in milliseconds since the Unix epoch.
     pub at: Millis,
@@ -59,33 +62,34 @@
     Alive,
     /// The connection was refused.
     Dead,
-    /// There was no response.
+    /// There was no response in time; the platform's list will show whether the upstream is gone.
     Unknown,
 }
 
 /// Crashes of upstreams, and requests that may have caused them.
 #[derive(Debug, Default)]
 pub(crate) struct Quarantine {
-    /// Fingerprints of interrupted requests, and when, by the upstream that may have crashed.
+    /// By upstream: fingerprints of its interrupted requests, and the times of the interruptions.
     interrupted: HashMap<Arc<str>, Vec<(u64, Millis)>>,
     /// Upstreams with a liveness check under way.
     checking: BTreeSet<Arc<str>>,
     /// Crashes by fingerprint.
     crashes: HashMap<u64, Vec<Crash>>,
     /// Fingerprints that this router has answered in full.
-    answered: Recent,
+    answered: FifoSet,
     /// Fingerprints that any router has cleared.
-    cleared: Recent,
+    cleared: FifoSet,
 }
 
-/// A bounded set of fingerprints that evicts in the order of insertion.
+/// A bounded set of fingerprints that evicts in the order of insertion. A repeated insertion does
+/// not renew an entry.
 #[derive(Debug, Default)]
-struct Recent {
+struct FifoSet {
     known: HashSet<u64>,
     order: VecDeque<u64>,
 }
 
-impl Recent {
+impl FifoSet {
     /// Inserts a fingerprint and evicts the oldest one beyond `limit`.
     fn insert(&mut self, fingerprint: u64, limit: usize) {
         if !self.known.insert(fingerprint) {
@@ -154,7 +158,7 @@
         }
     }
 
-    /// Drops work whose latest crash is older than `ttl`.
+    /// Drops the crashes of work whose latest crash is older than `ttl`.
     fn expire(&mut self, ttl: Millis, now: Millis) {
         self.crashes.retain(|_, crashes| latest(crashes).until(now) < ttl);
     }
@@ -168,7 +172,7 @@
 impl State {
     /// Records that a request was interrupted after it was sent, and requests a liveness check of
     /// its upstream unless one is under way.
-    pub(crate) fn check_interrupted(&mut self, id: u64, now: Millis) -> Option<Effect> {
+    pub(crate) fn record_interrupted_and_check(&mut self, id: u64, now: Millis) -> Option<Effect> {
         let upstream = self.record_interrupted(id, now)?;
         let address = self.upstreams.get(&upstream)?.host.address.clone();
         let first = self.quarantine.checking.insert(upstream.clone());
@@ -205,8 +209,8 @@
         Vec::new()
     }
 
-    /// Records that an upstream has crashed, and reports it for each request that was interrupted
-    /// there.
+    /// Attributes the end of an upstream to the requests that were interrupted there, and reports
+    /// that.
     pub(crate) fn record_crash(&mut self, upstream: &Arc<str>, now: Millis) {
         let crash = |fingerprint| Crash {
             fingerprint,
@@ -216,7 +220,7 @@
         };
         let mut crashes: Vec<_> =
             self.quarantine.take_interrupted(upstream, now).into_iter().map(crash).collect();
-        crashes.retain(|crash| !self.is_cleared(crash.fingerprint, now));
+        crashes.retain(|crash| !self.clear_if_answered(crash.fingerprint, now));
         if crashes.is_empty() {
             return;
         }
@@ -224,7 +228,7 @@
         self.record_crashes(crashes, now);
     }
 
-    /// Records crashes that this or another router has detected. Times in the future, from a host
+    /// Records crashes and clearings of this or another router. Times in the future, from a host
     /// whose clock is ahead, count as now.
     pub(crate) fn record_crashes(&mut self, crashes: Vec<Crash>, now: Millis) {
         let duration = Millis(self.settings.quarantine_ms);
@@ -234,7 +238,7 @@
             if crash.cleared {
                 self.quarantine.clear(fingerprint);
             }
-            if crash.cleared || self.is_cleared(fingerprint, now) {
+            if crash.cleared || self.clear_if_answered(fingerprint, now) {
                 continue;
             }
             crash.at = crash.at.min(now);
@@ -246,9 +250,9 @@
         }
     }
 
-    /// Whether work is cleared. Work that this router has answered in full is cleared now, and
-    /// reported to the other routers.
-    fn is_cleared(&mut self, fingerprint: u64, now: Millis) -> bool {
+    /// Clears work that this router has answered in full, and reports that to the other routers.
+    /// Returns whether the work is cleared.
+    fn clear_if_answered(&mut self, fingerprint: u64, now: Millis) -> bool {
         if !self.quarantine.cleared.contains(fingerprint)
             && self.quarantine.answered.contains(fingerprint)
         {
@@ -257,7 +261,7 @@
         self.quarantine.cleared.contains(fingerprint)
     }
 
-    /// Records that work was answered in full, so that it does not cause crashes.
+    /// Records that work was answered in full and so is not the cause of crashes.
     pub(crate) fn mark_answered(&mut self, fingerprint: u64, now: Millis) {
         if !self.settings.path.monitors_upstreams() {
             return;
--- a/components/routing/src/recovery/silence.rs
+++ b/components/routing/src/recovery/silence.rs
@@ -1,7 +1,7 @@
 //! Detection of silent upstreams that are reached directly.
 //!
-//! The connection to a host that has failed may stay open, as may one whose answer was lost. An
-//! upstream is suspect only if nothing at all has come from it.
+//! A connection may stay open although its host has failed or an answer was lost. An upstream
+//! becomes suspect only if nothing has arrived from it, for any request, within the timeout.
 
 use std::sync::Arc;
 
@@ -52,9 +52,10 @@
         }
     }
 
-    /// Handles a request whose upstream may be silent: tries another upstream if that is safe, and
-    /// else waits on. An upstream that is silent for all requests becomes suspect.
-    pub(crate) fn check_silence(&mut self, id: u64, now: Millis) -> Vec<Effect> {
+    /// Handles a request whose upstream may be silent: retries at another upstream if a retry is
+    /// safe and within the budget, and otherwise keeps waiting. An upstream that is silent for all
+    /// requests becomes suspect.
+    pub(crate) fn handle_silence(&mut self, id: u64, now: Millis) -> Vec<Effect> {
         let Some(request) = self.requests.get_mut(&id) else {
             return Vec::new();
         };
@@ -67,12 +68,12 @@
         };
         let upstream = last.upstream.clone();
         let first = !std::mem::replace(&mut last.is_silent, true);
-        let close_idle = self.close_idle(&upstream).filter(|_| first);
+        let close_idle = self.close_idle_effect(&upstream).filter(|_| first);
         if first {
             self.record_interrupted(id, now);
         }
         self.record_outcome(id, false, now);
-        if self.is_silent(&upstream, timeout, now) {
+        if self.is_upstream_silent(&upstream, timeout, now) {
             self.require_probe(&upstream, now);
         }
         let kind = if is_answering { Kind::Truncated } else { Kind::Silent };
@@ -86,15 +87,15 @@
         effects
     }
 
-    /// Closes the idle connections to an upstream, which may be dead as well. Retries would fail
-    /// on one after the other.
-    fn close_idle(&self, upstream: &Arc<str>) -> Option<Effect> {
+    /// The effect that closes the idle connections to an upstream, as retries would fail on each
+    /// in turn.
+    fn close_idle_effect(&self, upstream: &Arc<str>) -> Option<Effect> {
         let address = self.upstreams.get(upstream)?.host.address.clone();
         Some(Effect::CloseIdle { address })
     }
 
-    /// Records the outcome of a request's current attempt, once per attempt; a failure may still
-    /// follow a success.
+    /// Records the outcome of a request's current attempt. After a success only a failure is
+    /// added, and after a failure nothing.
     pub(crate) fn record_outcome(&mut self, id: u64, success: bool, now: Millis) {
         let Some(last) = self.requests.get_mut(&id).and_then(|request| request.tries.last_mut())
         else {
@@ -110,16 +111,17 @@
         }
     }
 
-    /// Marks an upstream as suspect, and then requires a probe request before it gets others.
+    /// Marks an upstream as suspect with enough failures that it is probed afterwards.
     fn require_probe(&mut self, upstream: &Arc<str>, now: Millis) {
         if let Some(upstream) = self.upstreams.get_mut(upstream) {
+            // `mark_suspect` counts one more failure.
             upstream.failures = upstream.failures.max(FAILURES_BEFORE_PROBE - 1);
         }
         self.mark_suspect(upstream, now);
     }
 
-    /// Whether nothing has been received from an upstream for `timeout`.
-    fn is_silent(&self, upstream: &Arc<str>, timeout: Millis, now: Millis) -> bool {
+    /// Whether nothing has been received from an upstream for `timeout`, or ever.
+    fn is_upstream_silent(&self, upstream: &Arc<str>, timeout: Millis, now: Millis) -> bool {
         let last_activity =
             self.upstreams.get(upstream).and_then(|upstream| upstream.last_activity);
         last_activity.is_none_or(|at| at.until(now) >= timeout)
--- a/components/routing/src/requests/completion.rs
+++ b/components/routing/src/requests/completion.rs
@@ -179,7 +179,7 @@
         if let Some(upstream) = self.upstreams.get_mut(&last.upstream) {
             upstream.remove_request(weight);
             if was_waiting {
-                upstream.record_answer_start(weight);
+                upstream.remove_waiting(weight);
             }
         }
     }
--- a/components/routing/src/requests/dispatch.rs
+++ b/components/routing/src/requests/dispatch.rs
@@ -52,11 +52,11 @@
         let pool = self.requests.get(&id).map(|request| request.pool.clone()).unwrap_or_default();
         match why {
             COLD => {
-                let earliest = self.available_in(&pool, now).unwrap_or_default();
+                let earliest = self.pool_available_in(&pool, now).unwrap_or_default();
                 self.flows.entry(pool).or_default().book(millis_to_f64(earliest), 1.0, now)
             }
             BACKING_OFF => {
-                let earliest = self.available_in(&pool, now).unwrap_or_default();
+                let earliest = self.pool_available_in(&pool, now).unwrap_or_default();
                 earliest.0 + self.rng.random_range(0..RETRY_SPREAD.0)
             }
             EVACUATED => self.settings.evacuated_retry_after_ms,
--- a/components/routing/src/requests/reply.rs
+++ b/components/routing/src/requests/reply.rs
@@ -249,7 +249,7 @@
         let mut effects = Vec::new();
         if sent {
             self.record_outcome(id, false, now);
-            effects.extend(self.check_interrupted(id, now));
+            effects.extend(self.record_interrupted_and_check(id, now));
         }
         if let Some(upstream) = upstream {
             self.record_connection_failure(&upstream, sent, now);
@@ -268,7 +268,7 @@
         if self.settings.path.monitors_upstreams() {
             let detects_silence = self.settings.mechanisms.silence;
             return if detects_silence && self.is_current(id, attempt) {
-                self.check_silence(id, now)
+                self.handle_silence(id, now)
             } else {
                 Vec::new()
             };
--- a/components/routing/tests/direct/allocation.rs
+++ b/components/routing/tests/direct/allocation.rs
@@ -21,7 +21,7 @@
 const SETTLED: Millis = Millis(NOW.0 + 4_000);
 
 /// Router number `own` of `ROUTERS`, with all engines.
-fn fleet(own: usize, mechanisms: Mechanisms) -> State {
+fn fleet_router(own: usize, mechanisms: Mechanisms) -> State {
     let bound = Bound { multiple: 2.0, floor: 4, margin: 0.1, extra: 1 };
     let mut state = router(Settings { bound, current_ms: 0, mechanisms, ..settings() });
     state.apply(engines(&DOMAINS), NOW);
@@ -87,7 +87,7 @@
 }
 
 fn surges(mechanisms: Mechanisms, evacuated_domains: &[&str]) -> (usize, usize, usize) {
-    let mut routers: Vec<_> = (0..ROUTERS).map(|own| fleet(own, mechanisms)).collect();
+    let mut routers: Vec<_> = (0..ROUTERS).map(|own| fleet_router(own, mechanisms)).collect();
     for state in &mut routers {
         state.apply(evacuated(evacuated_domains), NOW);
     }
@@ -112,7 +112,7 @@
 
 #[test]
 fn a_single_router_uses_all_capacity() {
-    let mut state = fleet(0, Mechanisms::default());
+    let mut state = fleet_router(0, Mechanisms::default());
     state.apply(Event::RouterCount(1), NOW);
     state.apply(evacuated(&["c"]), NOW);
     state.apply(Event::ConfigurationConfirmed { at: SETTLED }, SETTLED);
@@ -126,7 +126,7 @@
 #[test]
 fn does_not_divide_capacity_without_observations() {
     let targets = |mechanisms| -> Vec<_> {
-        let mut state = fleet(0, mechanisms);
+        let mut state = fleet_router(0, mechanisms);
         state.apply(evacuated(&["c"]), NOW);
         state.apply(Event::ConfigurationConfirmed { at: SETTLED }, SETTLED);
         state.apply(observations(&BTreeMap::new()), SETTLED);
--- a/components/routing/tests/direct/cold.rs
+++ b/components/routing/tests/direct/cold.rs
@@ -18,7 +18,7 @@
 const SETTLED: Millis = Millis(NOW.0 + 4_000);
 
 /// Router number `own` of `count`, with one engine.
-fn fleet(own: usize, count: usize) -> State {
+fn fleet_router(own: usize, count: usize) -> State {
     let mut state = router(Settings {
         cold_multiple: 1.5,
         cold_extra: 5.0,
@@ -51,7 +51,7 @@
     for count in [1, 3, 8, 26, 120] {
         let mut total = 0;
         for own in 0..count {
-            let mut state = fleet(own, count);
+            let mut state = fleet_router(own, count);
             state.apply(cold(3_000), SETTLED);
             total += count_sent(&mut state, 0, 50, SETTLED);
         }
@@ -61,7 +61,7 @@
 
 #[test]
 fn refuses_requests_beyond_the_quota_until_the_window_has_passed() {
-    let mut state = fleet(0, 1);
+    let mut state = fleet_router(0, 1);
     state.apply(cold(3_000), SETTLED);
     assert_eq!(count_sent(&mut state, 0, 50, SETTLED), 15);
     let effects = state.apply(arrival(99, "stream", "chat"), SETTLED);
@@ -72,7 +72,7 @@
 
 #[test]
 fn counts_retries_against_the_quota() {
-    let mut state = fleet(0, 1);
+    let mut state = fleet_router(0, 1);
     state.apply(engines(&["a", "a"]), NOW);
     state.apply(cold(3_000), SETTLED);
     state.apply(Event::Cold { upstream: "engine-1".into(), remaining: Millis(3_000) }, SETTLED);
@@ -91,12 +91,12 @@
 
 #[test]
 fn a_router_that_has_just_started_or_is_partitioned_has_no_quota() {
-    let mut started = fleet(0, 1);
+    let mut started = fleet_router(0, 1);
     started.apply(cold(9_000), NOW);
     assert_eq!(count_sent(&mut started, 0, 9, NOW + Millis(3_000)), 0);
     assert_eq!(count_sent(&mut started, 10, 9, SETTLED), 9);
 
-    let mut partitioned = fleet(0, 1);
+    let mut partitioned = fleet_router(0, 1);
     partitioned.apply(cold(9_000), SETTLED);
     partitioned.apply(Event::ConfigurationConfirmed { at: NOW }, NOW);
     assert_eq!(sent_to(&partitioned.apply(arrival(1, "stream", "chat"), SETTLED)), None);
@@ -106,7 +106,7 @@
 fn reserves_the_quota_of_a_departed_router_for_a_while() {
     let total = |now: Millis, elapsed: Millis| -> usize {
         let state = |own| {
-            let mut state = fleet(own, 3);
+            let mut state = fleet_router(own, 3);
             if own < 2 {
                 state.apply(members(own, 2), SETTLED);
             }
@@ -122,7 +122,7 @@
 
 #[test]
 fn engines_of_a_restored_domain_are_cold() {
-    let mut state = fleet(0, 1);
+    let mut state = fleet_router(0, 1);
     state.apply(evacuated(&["a"]), SETTLED);
     assert_eq!(count_sent(&mut state, 0, 50, SETTLED), 0);
     state.apply(evacuated(&[]), SETTLED);
@@ -162,7 +162,7 @@
         steps in prop::collection::vec(step(), 200..900),
     ) {
         let mut now = SETTLED;
-        let mut states: Vec<State> = (0..count).map(|own| fleet(own, count)).collect();
+        let mut states: Vec<State> = (0..count).map(|own| fleet_router(own, count)).collect();
         let mut partitioned = BTreeSet::new();
         let mut announcements: Vec<(Millis, usize)> = Vec::new();
         let mut sent_at: Vec<Millis> = Vec::new();
--- a/components/routing/tests/direct/evacuation.rs
+++ b/components/routing/tests/direct/evacuation.rs
@@ -10,7 +10,7 @@
 };
 
 /// Two engines in each of two failure domains.
-fn fleet() -> State {
+fn router_with_two_domains() -> State {
     let mut state = router(Settings { retry_burst: 20.0, ..settings() });
     state.apply(engines(&["a", "a", "b", "b"]), NOW);
     state
@@ -28,7 +28,7 @@
 
 #[test]
 fn sends_nothing_to_an_evacuated_domain_until_it_is_restored() {
-    let mut state = fleet();
+    let mut state = router_with_two_domains();
     assert!(targets(&mut state, 0, NOW).iter().any(|name| name == "engine-0"));
     state.apply(evacuated(&["a"]), NOW);
     let remaining = targets(&mut state, 100, NOW);
@@ -41,7 +41,7 @@
 
 #[test]
 fn refuses_requests_if_all_domains_are_evacuated() {
-    let mut state = fleet();
+    let mut state = router_with_two_domains();
     state.apply(evacuated(&["a", "b"]), NOW);
     let effects = state.apply(arrival(1, "stream", "chat"), NOW);
     assert_eq!(failure(&effects), Some(Kind::NoUpstream));
@@ -50,7 +50,7 @@
 
 #[test]
 fn sends_nothing_to_an_upstream_that_is_added_to_an_evacuated_domain() {
-    let mut state = fleet();
+    let mut state = router_with_two_domains();
     state.apply(evacuated(&["a"]), NOW);
     state.apply(engines(&["a", "a", "a", "a", "a"]), NOW);
     assert!(targets(&mut state, 0, NOW).iter().all(|name| name == "nowhere"));
@@ -59,7 +59,7 @@
 #[test]
 fn does_not_retry_in_a_domain_that_was_evacuated_meanwhile() {
     for id in 0..40 {
-        let mut state = fleet();
+        let mut state = router_with_two_domains();
         let chat = format!("chat-{id}");
         let first = sent_to(&state.apply(arrival(id, "stream", &chat), NOW)).expect("an upstream");
         state.apply(evacuated(&["a"]), NOW);
@@ -72,7 +72,7 @@
 
 #[test]
 fn sends_a_waiting_request_to_another_domain_after_an_evacuation() {
-    let mut state = fleet();
+    let mut state = router_with_two_domains();
     let prefilling = sent_to(&state.apply(arrival_with_prefixes(1, "stream", "chat", &[7]), NOW))
         .expect("an upstream");
     let waits = state.apply(arrival_with_prefixes(2, "stream", "chat", &[7]), NOW);
@@ -87,7 +87,7 @@
 
 #[test]
 fn copies_prefixes_from_an_evacuated_domain() {
-    let mut state = fleet();
+    let mut state = router_with_two_domains();
     state.apply(engines(&["a", "b"]), NOW);
     for id in 0..40 {
         let chat = format!("chat-{id}");
--- a/components/routing/tests/direct/loads.rs
+++ b/components/routing/tests/direct/loads.rs
@@ -9,7 +9,7 @@
 
 use crate::fixture::{NOW, arrival, failure, retry_after, router, sent_to, settings};
 
-fn fleet() -> State {
+fn router_with_known_bound() -> State {
     let known_bound = Bound { multiple: 2.0, floor: 4, margin: 0.0, extra: 0 };
     router(Settings { known_bound, ..settings() })
 }
@@ -25,7 +25,8 @@
 
 /// The upstream of the tests' chat in an idle fleet.
 fn first_ranked() -> Arc<str> {
-    sent_to(&fleet().apply(arrival(1, "stream", "chat"), NOW)).expect("an upstream")
+    sent_to(&router_with_known_bound().apply(arrival(1, "stream", "chat"), NOW))
+        .expect("an upstream")
 }
 
 fn target(state: &mut State, id: u64, now: Millis) -> Arc<str> {
@@ -35,7 +36,7 @@
 
 #[test]
 fn excludes_an_upstream_that_other_routers_have_filled() {
-    let mut state = fleet();
+    let mut state = router_with_known_bound();
     receive_loads(&mut state, "front-2", &[&first_ranked()], 2, NOW);
     // The floor of the bound is four requests.
     assert_eq!(target(&mut state, 1, NOW), first_ranked());
@@ -48,7 +49,7 @@
 
 #[test]
 fn drops_the_loads_of_a_router_that_stops_reporting() {
-    let mut state = fleet();
+    let mut state = router_with_known_bound();
     receive_loads(&mut state, "front-2", &[&first_ranked()], 9, NOW);
     receive_loads(&mut state, "front-3", &[], 0, NOW + Millis(1_999));
     assert_ne!(target(&mut state, 1, NOW + Millis(1_999)), first_ranked());
@@ -60,7 +61,7 @@
 fn uses_observations_once_no_router_reports_loads() {
     // An observed load counts again when no router has reported for a second, with the bound that
     // has a margin.
-    let mut state = fleet();
+    let mut state = router_with_known_bound();
     let load = Event::Load { upstream: first_ranked(), requests: 9, waiting: 0 };
     state.apply(load.clone(), NOW);
     receive_loads(&mut state, "front-2", &[], 0, NOW);
@@ -71,7 +72,7 @@
 
 #[test]
 fn reports_only_its_own_loads() {
-    let mut state = fleet();
+    let mut state = router_with_known_bound();
     receive_loads(&mut state, "front-2", &[&first_ranked()], 2, NOW);
     target(&mut state, 1, NOW);
     let loads = state.loads(&"front-1".into(), NOW);
@@ -86,7 +87,7 @@
         Event::Observations(Observations { current: true, upstreams: vec![observation] })
     };
     // The floor of the bound is four requests.
-    let mut state = fleet();
+    let mut state = router_with_known_bound();
     state.apply(observations(9, 50), NOW);
     assert_ne!(target(&mut state, 1, NOW), first_ranked());
     // A later observation replaces it, an earlier one does not.
@@ -97,7 +98,7 @@
 
 #[test]
 fn takes_observations_once() {
-    let mut state = fleet();
+    let mut state = router_with_known_bound();
     assert_eq!(state.take_observations(NOW).upstreams, []);
     state.apply(Event::Load { upstream: first_ranked(), requests: 3, waiting: 1 }, NOW);
     let observation = Observation { upstream: first_ranked(), requests: 3, waiting: 1, age_ms: 70 };
@@ -108,7 +109,7 @@
 #[test]
 fn shortens_retry_after_if_another_router_is_current() {
     let retry_after_if = |current| {
-        let mut state = fleet();
+        let mut state = router_with_known_bound();
         let later = NOW + Millis(3_100);
         let observations = Observations { current, upstreams: Vec::new() };
         state.apply(Event::Observations(observations), later);
--- a/components/routing/tests/direct/silence.rs
+++ b/components/routing/tests/direct/silence.rs
@@ -12,7 +12,7 @@
 /// Silence timeout on the routes of the tests: twice their objective of 800 ms.
 const SILENCE_TIMEOUT: Millis = Millis(1_600);
 
-fn fleet() -> State {
+fn router_with_retries() -> State {
     router(Settings { retry_burst: 20.0, ..settings() })
 }
 
@@ -40,7 +40,7 @@
 
 #[test]
 fn retries_a_repeatable_request_after_silence() {
-    let mut state = fleet();
+    let mut state = router_with_retries();
     let silent = start(&mut state, 1, "safe");
     let effects = stall(&mut state, 1, 1, NOW + SILENCE_TIMEOUT);
     assert!(matches!(effects[0], Effect::Cancel));
@@ -51,7 +51,7 @@
 
 #[test]
 fn keeps_an_unrepeatable_request_at_a_silent_upstream_that_others_avoid() {
-    let mut state = fleet();
+    let mut state = router_with_retries();
     let silent = start(&mut state, 1, "unsafe");
     assert!(is_kept(&stall(&mut state, 1, 1, NOW + SILENCE_TIMEOUT)));
     for id in 2..6 {
@@ -67,7 +67,7 @@
 
 #[test]
 fn does_not_suspect_an_upstream_that_answers_other_requests() {
-    let mut state = fleet();
+    let mut state = router_with_retries();
     let upstream = start(&mut state, 1, "stream");
     assert_eq!(start(&mut state, 2, "stream"), upstream);
     state.apply(Event::Reply { id: 2, attempt: 1, reply: head(1) }, NOW + Millis(100));
@@ -77,7 +77,7 @@
 
 #[test]
 fn resumes_a_silent_stream_at_another_upstream() {
-    let mut state = fleet();
+    let mut state = router_with_retries();
     start(&mut state, 1, "stream");
     state.apply(Event::Reply { id: 1, attempt: 1, reply: head(1) }, NOW);
     let bytes = Bytes::from_static(b"id: 1\n\n");
@@ -101,7 +101,7 @@
 
 #[test]
 fn probes_a_silent_upstream_with_one_request_until_it_answers() {
-    let mut state = fleet();
+    let mut state = router_with_retries();
     let silent = start(&mut state, 1, "stream");
     stall(&mut state, 1, 1, NOW + SILENCE_TIMEOUT);
     // The backoff takes at most 10 s.
@@ -124,7 +124,7 @@
     let count_closed = |effects: &[Effect]| {
         effects.iter().filter(|effect| matches!(effect, Effect::CloseIdle { .. })).count()
     };
-    let mut state = fleet();
+    let mut state = router_with_retries();
     assert_eq!(uses_new_connection(&state.apply(arrival(1, "safe", "chat"), NOW)), Some(false));
     let effects = stall(&mut state, 1, 1, NOW + SILENCE_TIMEOUT);
     assert_eq!((uses_new_connection(&effects), count_closed(&effects)), (Some(true), 1));
