--- a/components/router/src/announcement.rs
+++ b/components/router/src/announcement.rs
@@ -34,8 +34,8 @@
     updated_at: Millis,
 }
 
-/// Keeps this router announced while it polls the store, and withdraws the announcement on
-/// shutdown.
+/// Announces this router while it polls the store, and withdraws the announcement once it stops
+/// polling or shuts down.
 pub(crate) async fn run(core: Rc<Core>) {
     let mut written = None;
     let mut poller_changes = core.fleet().poller_changes();
--- a/components/router/src/core.rs
+++ b/components/router/src/core.rs
@@ -254,22 +254,22 @@
         self.state.borrow().warm_prefixes()
     }
 
-    /// Takes the load observations collected since the last call.
+    /// Takes unreported load observations.
     pub(crate) fn take_observations(&self) -> Observations {
         self.state.borrow_mut().take_observations(self.clock.now())
     }
 
-    /// Takes the request outcomes collected since the last call.
+    /// Takes unreported request outcomes.
     pub(crate) fn take_outcomes(&self) -> Vec<Outcome> {
         self.state.borrow_mut().take_outcomes()
     }
 
-    /// Takes the pace reports of upstreams collected since the last call.
+    /// Takes unreported paces of upstreams.
     pub(crate) fn take_paces(&self) -> Vec<wire::Pace> {
         self.state.borrow_mut().take_paces(self.clock.now())
     }
 
-    /// Takes the queueing delays collected since the last call.
+    /// Takes unreported queueing delays.
     pub(crate) fn take_delays(&self) -> Vec<Delay> {
         self.state.borrow_mut().take_delays()
     }
--- a/components/router/src/crashes.rs
+++ b/components/router/src/crashes.rs
@@ -135,8 +135,8 @@
 /// A lease and the time of its grant.
 type GrantedLease = Option<(Lease, Millis)>;
 
-/// Writes the report under a lease that lasts as long as the quarantine. Replaces a lease that is
-/// past half of its time or belongs to an earlier era of the store.
+/// Writes the report under a lease that lasts as long as the quarantine, up to [`MAX_LEASE_TTL`].
+/// Replaces a lease that is past half of its time or belongs to an earlier era of the store.
 async fn write_report(core: &Core, lease_slot: &mut GrantedLease) -> Result<(), Error> {
     let store = &core.edges().store;
     let retention = Millis(core.settings.routing.quarantine_ms);
--- a/components/router/src/hints.rs
+++ b/components/router/src/hints.rs
@@ -143,7 +143,7 @@
     }
 }
 
-/// Handles the hints of a datagram, and forwards those marked for it.
+/// Handles the hints of a datagram, and forwards those after a [`Frame::Forwarded`].
 fn receive_datagram(core: &Core, datagram: &[u8], from: SocketAddr) {
     let mut reader = Reader::default();
     reader.push(datagram);
--- a/components/router/src/ingress.rs
+++ b/components/router/src/ingress.rs
@@ -57,7 +57,7 @@
     };
     let template = build_template(&request, headers, body, &target);
     let fingerprint = template.fingerprint(&target.workspace);
-    let arrival = arrival(number, id, fingerprint, &metadata, target);
+    let arrival = build_arrival(number, id, fingerprint, &metadata, target);
     relay(&core, &request, arrival, template).await
 }
 
@@ -79,7 +79,7 @@
     }
 }
 
-fn arrival(
+fn build_arrival(
     number: u64,
     id: Arc<str>,
     fingerprint: u64,
@@ -104,20 +104,20 @@
 /// The id that groups requests with a common prompt: the last prefix that is not unique to this
 /// request.
 fn chat_id(prompt: &[Prefix]) -> Option<Arc<str>> {
-    let shared = prompt.len().checked_sub(2)?;
-    Some(prompt[shared].id.clone())
+    let last_shared = prompt.len().checked_sub(2)?;
+    Some(prompt[last_shared].id.clone())
 }
 
 /// The shareable prefixes of the prompt, each including all before it.
 fn shareable_prefixes(prompt: &[Prefix]) -> Vec<routing::Prefix> {
-    let parts = prompt.split_last().map_or(prompt, |(_, shared)| shared);
+    let shareable = prompt.split_last().map_or(prompt, |(_, shared)| shared);
     let start = routing::Prefix { hash: 0, tokens: 0 };
-    let join = |before: &mut routing::Prefix, part: &Prefix| {
-        let hash = placement::key(&before.hash.to_string(), &part.id);
-        *before = routing::Prefix { hash, tokens: before.tokens.saturating_add(part.tokens) };
-        Some(*before)
+    let join = |joined: &mut routing::Prefix, prefix: &Prefix| {
+        let hash = placement::key(&joined.hash.to_string(), &prefix.id);
+        *joined = routing::Prefix { hash, tokens: joined.tokens.saturating_add(prefix.tokens) };
+        Some(*joined)
     };
-    parts.iter().scan(start, join).collect()
+    shareable.iter().scan(start, join).collect()
 }
 
 fn refuse(core: &Core, kind: Kind, id: &str) -> HttpResponse {
--- a/components/router/src/persistence.rs
+++ b/components/router/src/persistence.rs
@@ -48,7 +48,7 @@
         self.is_writer.send_if_modified(|known| std::mem::replace(known, is_writer) != is_writer);
     }
 
-    /// Schedules a new write after the stored list was lost.
+    /// Makes the next [`Self::save`] write the list again, after the stored one was lost.
     pub(crate) fn invalidate(&self) {
         self.hosts.send_if_modified(|known| {
             known.clear();
