--- a/components/routing/src/beliefs/fleet.rs
+++ b/components/routing/src/beliefs/fleet.rs
@@ -28,7 +28,8 @@
 }
 
 impl State {
-    /// Replaces the list of upstreams; the state of those that stay is kept.
+    /// Replaces the list of upstreams and keeps the state of those that stay. Upstreams that
+    /// disappear without having been leaving count as crashed.
     pub(crate) fn set_hosts(&mut self, hosts: Vec<Host>, now: Millis) -> Vec<Effect> {
         self.index.clear();
         let mut known = std::mem::take(&mut self.upstreams);
@@ -54,8 +55,8 @@
         self.connect(now)
     }
 
-    /// Opens the next missing connections. Their number is limited, so that a recovering region
-    /// is not flooded.
+    /// The effects that open the next missing connections. Their number is limited, so that a
+    /// recovering region is not flooded.
     pub(crate) fn connect(&self, now: Millis) -> Vec<Effect> {
         self.upstreams
             .values()
@@ -126,7 +127,7 @@
         Vec::new()
     }
 
-    /// Records a failed connection; `sent` says whether any of the request was sent. An upstream
+    /// Records a failed connection; `sent` is whether the request may have been sent. An upstream
     /// that is reached directly becomes suspect only at the second failure in a row, or when no
     /// connection could be opened.
     pub(crate) fn record_connection_failure(
@@ -160,8 +161,8 @@
         }
     }
 
-    /// Records that an upstream refused a request. It is marked suspect, as its load would
-    /// otherwise look low and attract more requests.
+    /// Records that an upstream refused a request. Unless it is closed anyway, it is marked as
+    /// suspect, as its load would otherwise look low and attract more requests.
     pub(crate) fn record_refusal(&mut self, id: u64, now: Millis) {
         let name = self.requests.get(&id).and_then(|request| request.upstream()).cloned();
         if let Some(name) = name.filter(|name| !self.is_closed(name, now)) {
--- a/components/routing/src/beliefs/room.rs
+++ b/components/routing/src/beliefs/room.rs
@@ -57,15 +57,15 @@
         sent * routers + draw(upstream.name(), observed_at, estimate) % routers >= capacity
     }
 
-    /// Whether `load` is within the first third of the way from the mean to the bound. An upstream
-    /// seldom gets more than the rest before the next observation.
+    /// Whether `load` is within the first third of the way from the mean to the bound. The rest is
+    /// margin enough until the next observation.
     fn is_lightly_loaded(&self, load: u64, ceiling: u64) -> bool {
         let mean = self.pool.load / u64::from(self.pool.members.max(1));
         3 * load <= 2 * mean + ceiling
     }
 }
 
-/// A pseudo-random number of this router for an observation; it orders the routers' turns.
+/// A hash of this router and an observation, which orders the routers' turns at the upstream.
 fn draw(upstream: &str, observed_at: Millis, estimate: &Estimate) -> u64 {
     let router_key = estimate.router_key.unwrap_or_default();
     digest(&[upstream.as_bytes(), &router_key.to_le_bytes(), &observed_at.0.to_le_bytes()])
--- a/components/routing/src/recovery/retry.rs
+++ b/components/routing/src/recovery/retry.rs
@@ -7,8 +7,8 @@
 use crate::{Budget, Effect};
 
 impl State {
-    /// Handles an attempt that failed before the caller received anything: sends the request to
-    /// the next candidate if it is safe and allowed, or else fails it.
+    /// Handles a failed attempt: sends the request to the next candidate if that is safe and
+    /// allowed, or else fails it.
     pub(crate) fn retry(
         &mut self,
         id: u64,
@@ -23,8 +23,8 @@
         self.fail(id, kind, retry_after_ms, "", now)
     }
 
-    /// Whether the request may be sent to another upstream after `kind`. If so, a retry is taken
-    /// from the budget.
+    /// Reranks the candidates and returns whether the request may be sent to one of them after
+    /// `kind`. If so, the retry is taken from its budget.
     pub(crate) fn acquire_retry(&mut self, id: u64, kind: Kind, now: Millis) -> bool {
         self.rerank(id, now);
         let Some(request) = self.requests.get(&id) else {
@@ -44,8 +44,8 @@
         is_safe && is_allowed && self.settings.mechanisms.retries && self.spend_budget(id, kind)
     }
 
-    /// Takes a retry after `kind` from the budget that it counts against. Returns whether there
-    /// was one.
+    /// Takes a retry after `kind` from the budget that it counts against, if any. Returns whether
+    /// the budget allows it.
     fn spend_budget(&mut self, id: u64, kind: Kind) -> bool {
         match kind {
             // The request has not reached an upstream.
