--- a/components/admission/src/call.rs
+++ b/components/admission/src/call.rs
@@ -24,6 +24,7 @@
     pub workspace: Arc<str>,
     pub priority: i32,
     pub weight: u64,
+    /// When it was sent to the upstream, or admitted while it is queued.
     pub started: Millis,
     pub deadline: Millis,
     pub key: Option<Arc<str>>,
--- a/components/admission/src/directory.rs
+++ b/components/admission/src/directory.rs
@@ -1,4 +1,5 @@
-//! The locations of chats whose first upstream by rank is this one.
+//! The locations of the chats whose home is this upstream. A chat's home is its first upstream by
+//! rank.
 
 use std::sync::Arc;
 
--- a/components/admission/src/event.rs
+++ b/components/admission/src/event.rs
@@ -7,7 +7,7 @@
 use placement::Pool;
 use wire::{DirectoryUpdate, Frame, Open, Report};
 
-/// The sidecar's number for one attempt of a request.
+/// The sidecar's number for an incoming exchange: an attempt of a request, or a load report.
 pub type CallId = u64;
 
 /// An input of the reducer.
@@ -15,7 +15,7 @@
 pub enum Event {
     /// A complete request arrived.
     Open {
-        /// The call's number.
+        /// The number assigned to the call.
         call: CallId,
         /// The request.
         open: Open,
@@ -38,7 +38,7 @@
     Chunk {
         /// The call.
         call: CallId,
-        /// The bytes.
+        /// The next bytes of the body.
         bytes: Bytes,
     },
     /// The upstream's answer is complete.
@@ -55,16 +55,16 @@
     },
     /// A report was answered with the pool's load.
     Pool {
-        /// The pool.
+        /// The load and number of members known to the receiver.
         pool: Pool,
-        /// Whether the report was the sum of a group.
+        /// Whether the answered report was the sum of a leader's group.
         sum: bool,
     },
     /// Another member of the pool reported its load.
     Report {
-        /// The call to answer.
+        /// The exchange to answer.
         call: CallId,
-        /// The report.
+        /// The member's load, or the sum of its group.
         report: Report,
     },
     /// A chat was answered elsewhere.
@@ -119,9 +119,9 @@
     Report {
         /// The receiver.
         to: Peer,
-        /// The report.
+        /// The load of this member, or the sum of its group.
         report: Report,
     },
-    /// No call is in flight after `Leave`.
+    /// The sidecar is leaving and no call is in flight. May be repeated.
     Drained,
 }
--- a/components/admission/src/lib.rs
+++ b/components/admission/src/lib.rs
@@ -1,8 +1,8 @@
 //! Admission control of a sidecar: which requests run at its upstream, and when.
 //!
 //! All requests to the upstream pass through its sidecar, so its counts of running requests are
-//! exact, and a request that it refused never runs. [`State::apply`] takes an [`Event`] and the
-//! time, and returns the [`Effect`]s to carry out.
+//! exact, and a request that it refused never runs. [`State`] is a reducer without I/O:
+//! [`State::apply`] takes an [`Event`] and the time, and returns the [`Effect`]s to carry out.
 
 mod call;
 mod directory;
--- a/components/admission/src/pool.rs
+++ b/components/admission/src/pool.rs
@@ -23,8 +23,8 @@
 /// The part of the reported load above which a change is large, as a divisor.
 const LARGE_CHANGE_DIVISOR: u64 = 16;
 
-/// The number of reports sent without a change while one is valid, so that a single loss does no
-/// harm.
+/// The reports sent per `ttl` while the load does not change. A member does not expire if one is
+/// lost.
 const HEARTBEATS_PER_TTL: u64 = 3;
 
 /// The aggregation tree as seen by one member.
@@ -32,6 +32,7 @@
 pub(crate) struct Tree {
     own: Peer,
     incarnation: u64,
+    /// How long a report is valid: `report_keep_ms` of the settings.
     ttl: Millis,
     /// All members in order, including this one; `None` before the first list.
     order: Option<Vec<Peer>>,
@@ -115,7 +116,8 @@
     }
 
     /// The pool with the current own load. The others count as idle before the first answer.
-    /// Before their list is known, they count as so many that only the bound's floor applies.
+    /// Before the list of members is known, their number is `u32::MAX`, which reduces the bound to
+    /// its constant part.
     pub(crate) fn pool(&self, load: u64, now: Millis) -> Pool {
         let Some(order) = &self.order else { return Pool { load, members: u32::MAX } };
         let members = u32::try_from(order.len()).unwrap_or(u32::MAX);
@@ -150,8 +152,8 @@
         Pool { load: others + group.load, members: self.last_answer.members.max(group.members) }
     }
 
-    /// The sum over all members, for the root. Leaders that have not reported yet count as idle,
-    /// with their members.
+    /// The sum over all members, for the root. Until `ttl` after the first sum all listed members
+    /// are counted, those not yet reported without load.
     fn total(&self, now: Millis) -> Pool {
         let group = self.group.pool(self.ttl, now);
         let sums = self.sums.pool(self.ttl, now);
@@ -256,7 +258,8 @@
         at.until(now).0 >= after
     }
 
-    /// The number of receivers in a row that have not answered in time.
+    /// The number of receivers to skip: one per full `ttl` since the last answer, none before the
+    /// first answer.
     fn missed(&self, ttl: Millis, now: Millis) -> usize {
         let silence = self.answered.map_or(Millis::ZERO, |at| at.until(now));
         usize::try_from(silence.0 / ttl.0.max(1)).unwrap_or(usize::MAX)
@@ -265,8 +268,8 @@
 
 /// The reports of members.
 ///
-/// A listed member that has not reported yet counts without load, which makes the bound tighter
-/// rather than looser. One whose report has expired is not counted.
+/// A listed member that has not reported yet is counted without load for a `ttl`, which lowers the
+/// mean and so the bound. One whose report has expired is not counted.
 #[derive(Clone, Debug, Default)]
 struct Aggregate {
     members: BTreeMap<Arc<str>, Member>,
--- a/components/admission/src/settings.rs
+++ b/components/admission/src/settings.rs
@@ -9,9 +9,9 @@
 pub struct Settings {
     /// The load bound.
     pub bound: Bound,
-    /// The largest number of running requests.
+    /// The limit on running requests.
     pub slots: usize,
-    /// The largest number of waiting requests.
+    /// The limit on waiting requests.
     pub queue: usize,
     /// How long a load report is valid, in milliseconds.
     pub report_keep_ms: u64,
@@ -19,13 +19,13 @@
     pub report_every_ms: u64,
     /// The longest delay of the report of a large change of load, in milliseconds.
     pub report_soon_ms: u64,
-    /// The largest number of chats in the directory.
+    /// The limit on chats in the directory.
     pub chats: usize,
-    /// The largest number of idempotency keys; new ones are refused beyond it.
+    /// The limit on idempotency keys; new ones are refused beyond it.
     pub keys: usize,
-    /// The largest total size of stored answers, in bytes; the oldest are dropped beyond it.
+    /// The limit on the total size of all stored answers, in bytes; the oldest are dropped beyond it.
     pub answers_bytes: usize,
-    /// The largest size of one stored answer, in bytes.
+    /// The limit on the size of one stored answer, in bytes.
     pub answer_bytes: usize,
 }
 
--- a/components/admission/src/state.rs
+++ b/components/admission/src/state.rs
@@ -76,7 +76,7 @@
         self.load
     }
 
-    /// The number of calls without their last frame.
+    /// The number of admitted calls that have not ended, queued or running.
     pub fn in_flight(&self) -> usize {
         self.calls.len()
     }
@@ -194,8 +194,8 @@
         ahead * self.run_ms / self.settings.slots.max(1) as u64
     }
 
-    /// The other upstreams that have a chat's context, if this sidecar keeps the chat's directory
-    /// entry.
+    /// The other upstreams that have a chat's context, if this is the chat's home. None for requests
+    /// with an idempotency key.
     fn hints(&self, open: &Open) -> Vec<Arc<str>> {
         if !open.is_home || open.idempotency_key.is_some() {
             return Vec::new();
@@ -263,7 +263,7 @@
     }
 
     fn finish(&mut self, id: CallId, now: Millis) -> Vec<Effect> {
-        let Some(call) = self.release(id) else {
+        let Some(call) = self.remove(id) else {
             return Vec::new();
         };
         let ran = call.started.until(now).0;
@@ -282,7 +282,7 @@
 
     /// Ends a call without a complete answer.
     fn fail(&mut self, id: CallId, kind: Kind) -> Vec<Effect> {
-        let Some(call) = self.release(id) else {
+        let Some(call) = self.remove(id) else {
             return Vec::new();
         };
         if let Some(key) = &call.key {
@@ -317,7 +317,7 @@
             call.awaited = false;
             return Vec::new();
         }
-        let Some(call) = self.release(id) else {
+        let Some(call) = self.remove(id) else {
             return Vec::new();
         };
         if call.is_queued() {
@@ -329,8 +329,8 @@
         vec![Effect::Abort { call: id }]
     }
 
-    /// Removes a call from all counts.
-    fn release(&mut self, id: CallId) -> Option<Call> {
+    /// Removes a call with its load and its slot or queue entry.
+    fn remove(&mut self, id: CallId) -> Option<Call> {
         let call = self.calls.remove(&id)?;
         self.load -= call.weight;
         if call.is_queued() {
@@ -376,6 +376,7 @@
         };
         let kind = match call.stage {
             Stage::Queued(_) => Kind::ExpiredWaiting,
+            // Without an answer it is unknown whether the request ran.
             Stage::Running => Kind::Expired,
             Stage::Answering => Kind::ExpiredRunning,
         };
--- a/components/load/src/caller.rs
+++ b/components/load/src/caller.rs
@@ -1,4 +1,4 @@
-//! An HTTP client of the fleet.
+//! Requests to the fleet.
 
 use std::time::{Duration, Instant};
 
@@ -18,10 +18,10 @@
 /// The largest accepted answer.
 const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
 
-/// How long a complete answer may take.
+/// How long the body of an answer to a chat may take.
 const ANSWER_TIMEOUT: Duration = Duration::from_mins(2);
 
-/// A client that acts for one workspace.
+/// An HTTP client with the credentials of one workspace.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: Client,
@@ -29,16 +29,18 @@
     token: String,
 }
 
-/// An answer that is not read. Dropping it cancels the request.
+/// An open answer whose body is not read. Dropping it cancels the request.
 #[derive(Debug)]
-pub struct Held(#[expect(dead_code, reason = "held to keep the request open")] ClientResponse);
+pub struct OpenAnswer(
+    #[expect(dead_code, reason = "held to keep the request open")] ClientResponse,
+);
 
-/// One turn of a chat.
+/// A request for the next turn of a chat.
 #[derive(Clone, Debug)]
 pub struct Chat {
     /// The model.
     pub model: String,
-    /// The id of the chat.
+    /// The id of the chat, sent as `prompt_cache_key`.
     pub chat: String,
     /// The messages so far.
     pub messages: Vec<Value>,
@@ -49,15 +51,14 @@
 }
 
 impl Caller {
-    /// Creates a caller for the base URL, a workspace and its key.
+    /// Creates a caller for the base URL, a workspace and its API key.
     ///
     /// # Errors
     ///
     /// The client can't be created.
     pub async fn new(base: &str, workspace: &str, key: &str) -> Result<Self, Error> {
-        let client = process::client(KEEP_ALIVE, ntex::time::Millis::ZERO)
-            .await
-            .map_err(connection_error)?;
+        let client =
+            process::client(KEEP_ALIVE, ntex::time::Millis::ZERO).await.map_err(client_error)?;
         Ok(Self { client, base: base.to_owned(), token: format!("{workspace}:{key}") })
     }
 
@@ -79,12 +80,12 @@
             if chat.stream {
                 streamed(response, started).await
             } else {
-                whole(response, started).await
+                unstreamed(response, started).await
             }
         };
         tokio::time::timeout(ANSWER_TIMEOUT, read)
             .await
-            .unwrap_or_else(|_| Err(connection_error("answer timed out")))
+            .unwrap_or_else(|_| Err(client_error("answer timed out")))
     }
 
     /// Sends one turn of a chat without reading the answer. Dropping the result cancels the
@@ -93,8 +94,8 @@
     /// # Errors
     ///
     /// The request fails before an answer starts.
-    pub async fn hold(&self, chat: &Chat) -> Result<Held, Error> {
-        self.begin(chat).await.map(Held)
+    pub async fn hold(&self, chat: &Chat) -> Result<OpenAnswer, Error> {
+        self.begin(chat).await.map(OpenAnswer)
     }
 
     async fn begin(&self, chat: &Chat) -> Result<ClientResponse, Error> {
@@ -106,14 +107,14 @@
             "prompt_cache_key": chat.chat,
         });
         let request = self.request("POST", "/v1/chat/completions");
-        check_status(request.send_json(&body).await.map_err(connection_error)?).await
+        check_status(request.send_json(&body).await.map_err(client_error)?).await
     }
 
-    /// Calls a plain service.
+    /// Calls a plain service, with an idempotency key if there is one.
     ///
     /// # Errors
     ///
-    /// The answer is an error, incomplete or malformed, or takes too long.
+    /// The answer is an error or incomplete.
     pub async fn call(
         &self,
         kind: &str,
@@ -125,10 +126,10 @@
         if let Some(key) = key {
             request = request.header("idempotency-key", key);
         }
-        let response = request.send_body(body.to_owned()).await.map_err(connection_error)?;
+        let response = request.send_body(body.to_owned()).await.map_err(client_error)?;
         let response = check_status(response).await?;
         let (request, upstream) = ids(&response);
-        let body = response.body().limit(MAX_ANSWER_BYTES).await.map_err(connection_error)?;
+        let body = response.body().limit(MAX_ANSWER_BYTES).await.map_err(client_error)?;
         Ok(Reply { request, upstream, body: String::from_utf8_lossy(&body).into_owned() })
     }
 
@@ -139,42 +140,42 @@
     /// The request fails.
     pub async fn key(&self, kind: &str) -> Result<String, Error> {
         let request = self.request("POST", &format!("/v1/keys/{kind}"));
-        let response = check_status(request.send().await.map_err(connection_error)?).await?;
-        let body: Value = response.json().await.map_err(connection_error)?;
+        let response = check_status(request.send().await.map_err(client_error)?).await?;
+        let body: Value = response.json().await.map_err(client_error)?;
         Ok(body["key"].as_str().unwrap_or("").to_owned())
     }
 
-    /// Reads a page as JSON.
+    /// Gets `path` and parses the body as JSON.
     ///
     /// # Errors
     ///
     /// The request fails, or the body is not JSON.
     pub async fn page(&self, path: &str) -> Result<Value, Error> {
         let response =
-            check_status(self.request("GET", path).send().await.map_err(connection_error)?).await?;
-        response.json().limit(MAX_ANSWER_BYTES).await.map_err(connection_error)
+            check_status(self.request("GET", path).send().await.map_err(client_error)?).await?;
+        response.json().limit(MAX_ANSWER_BYTES).await.map_err(client_error)
     }
 
-    /// Reads a page as text.
+    /// Gets `path` and returns the body as text.
     ///
     /// # Errors
     ///
     /// The request fails.
     pub async fn text(&self, path: &str) -> Result<String, Error> {
         let response =
-            check_status(self.request("GET", path).send().await.map_err(connection_error)?).await?;
-        let body = response.body().limit(MAX_ANSWER_BYTES).await.map_err(connection_error)?;
+            check_status(self.request("GET", path).send().await.map_err(client_error)?).await?;
+        let body = response.body().limit(MAX_ANSWER_BYTES).await.map_err(client_error)?;
         Ok(String::from_utf8_lossy(&body).into_owned())
     }
 
-    /// Returns the HTTP status of a page.
+    /// Gets `path` and returns the HTTP status.
     ///
     /// # Errors
     ///
     /// The connection failed.
     pub async fn status(&self, path: &str) -> Result<u16, Error> {
         let request = self.request("GET", path).timeout(Millis(2_000));
-        Ok(request.send().await.map_err(connection_error)?.status().as_u16())
+        Ok(request.send().await.map_err(client_error)?.status().as_u16())
     }
 
     fn request(&self, method: &str, path: &str) -> ClientRequest {
@@ -183,8 +184,8 @@
     }
 }
 
-fn connection_error(error: impl std::fmt::Display) -> Error {
-    Error::Connection { reason: error.to_string() }
+fn client_error(error: impl std::fmt::Display) -> Error {
+    Error::Client { reason: error.to_string() }
 }
 
 async fn check_status(response: ClientResponse) -> Result<ClientResponse, Error> {
@@ -192,7 +193,7 @@
     if status == 200 {
         return Ok(response);
     }
-    let body = response.body().await.map_err(connection_error)?;
+    let body = response.body().await.map_err(client_error)?;
     Err(Error::parse(status, String::from_utf8_lossy(&body).into_owned()))
 }
 
@@ -204,9 +205,9 @@
     (header("x-request-id"), header("x-upstream"))
 }
 
-async fn whole(response: ClientResponse, started: Instant) -> Result<Answer, Error> {
+async fn unstreamed(response: ClientResponse, started: Instant) -> Result<Answer, Error> {
     let (request, upstream) = ids(&response);
-    let body: Value = response.json().limit(MAX_ANSWER_BYTES).await.map_err(connection_error)?;
+    let body: Value = response.json().limit(MAX_ANSWER_BYTES).await.map_err(client_error)?;
     let text = body["choices"][0]["message"]["content"].as_str();
     let text = text.ok_or_else(|| Error::Malformed { reason: body.to_string() })?;
     let mut answer = new_answer(request, upstream);
@@ -223,7 +224,7 @@
     let mut done = false;
     let mut events = response.eventsource();
     while let Some(event) = events.next().await {
-        let event = event.map_err(connection_error)?;
+        let event = event.map_err(client_error)?;
         if event.data == "[DONE]" {
             done = true;
             continue;
--- a/components/load/src/error.rs
+++ b/components/load/src/error.rs
@@ -9,9 +9,9 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The connection failed.
-    #[snafu(display("connection failed: {reason}"))]
-    Connection {
+    /// The HTTP client failed: connection, timeout or body.
+    #[snafu(display("request failed: {reason}"))]
+    Client {
         /// The message of the HTTP client.
         reason: String,
     },
--- a/components/load/src/lib.rs
+++ b/components/load/src/lib.rs
@@ -1,4 +1,4 @@
-//! A client of the fleet for the local binary, tests and benchmarks.
+//! A client that generates load on the fleet, for the local binary, tests and benchmarks.
 
 mod answer;
 mod caller;
@@ -6,6 +6,6 @@
 mod retry;
 
 pub use answer::{Answer, Reply};
-pub use caller::{Caller, Chat, Held};
+pub use caller::{Caller, Chat, OpenAnswer};
 pub use error::Error;
 pub use retry::retry;
--- a/components/pace/tests/pace.rs
+++ b/components/pace/tests/pace.rs
@@ -6,13 +6,13 @@
 
 const NOW: Millis = Millis(1_000_000);
 
-/// Records a report every 100 ms: `usual`, but every seventh is `slow`.
-fn with_slow_periods(usual: u32, slow: u32) -> (Pace, Millis) {
+/// Records a report every 100 ms: `baseline`, but every seventh is `slow`.
+fn with_slow_periods(baseline: u32, slow: u32) -> (Pace, Millis) {
     let mut pace = Pace::default();
     let mut now = NOW;
     for report in 1..=200 {
         now = now + Millis(100);
-        pace.record(if report % 7 == 0 { slow } else { usual }, now);
+        pace.record(if report % 7 == 0 { slow } else { baseline }, now);
     }
     (pace, now)
 }
@@ -25,10 +25,10 @@
 }
 
 #[test]
-fn a_slow_report_decays_and_hardly_changes_the_usual_pace() {
+fn a_slow_report_decays_and_hardly_changes_the_baseline() {
     let (mut pace, now) = with_slow_periods(100, 250);
-    let usual = pace.factor(now + Millis(5_000));
-    assert!((1.0..1.1).contains(&usual), "{usual}");
+    let baseline = pace.factor(now + Millis(5_000));
+    assert!((1.0..1.1).contains(&baseline), "{baseline}");
     pace.record(250, now + Millis(5_000));
     assert!(pace.factor(now + Millis(5_000)) > 2.4);
     assert!(pace.factor(now + Millis(5_200)) < 1.9);
@@ -36,11 +36,11 @@
 }
 
 #[test]
-fn a_permanently_slower_upstream_has_a_slower_usual_pace() {
+fn a_permanently_slower_upstream_has_a_slower_baseline() {
     let (pace, now) = with_slow_periods(130, 325);
-    let usual = pace.factor(now + Millis(5_000));
-    assert!((1.3..1.45).contains(&usual), "{usual}");
-    // At 1.3 times the usual time 150 ms take 195 ms, slightly more with the slow periods.
+    let baseline = pace.factor(now + Millis(5_000));
+    assert!((1.3..1.45).contains(&baseline), "{baseline}");
+    // At 1.3 times the nominal time 150 ms take 195 ms, slightly more with the slow periods.
     let wait = pace.expected_wait_ms(100.0, 50.0, now + Millis(5_000));
     assert!((95.0..120.0).contains(&wait), "{wait}");
 }
--- a/components/permits/src/decision.rs
+++ b/components/permits/src/decision.rs
@@ -23,12 +23,12 @@
 /// Totals of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The largest number of permits that may be in use.
+    /// The number of permits that may be in use.
     pub limit: usize,
     /// The number of permits in use.
     pub in_flight: usize,
-    /// The number of waiting requests.
+    /// The number of queued claims.
     pub waiting: usize,
-    /// The number of requests that the pool completes in 1,000 s.
+    /// The estimated rate, in thousandths of a request per second.
     pub rate: u32,
 }
--- a/components/permits/src/issuer.rs
+++ b/components/permits/src/issuer.rs
@@ -28,13 +28,13 @@
 /// How long a pool must go without waiting or refused requests before it counts as recovered.
 const RECOVERY_PERIOD: Millis = Millis(3_000);
 
-/// The percentage of an objective within which an answer must be expected.
+/// The limit on wait plus latency, as a percentage of the objective.
 const ANSWER_PERCENT: u64 = 60;
 
-/// The part of the objective that a request may always wait, as a divisor.
+/// The lowest limit on the wait, as a divisor of the objective. Applies if requests may wait.
 const MIN_WAIT_DIVISOR: u64 = 10;
 
-/// The objective that counts before one is known.
+/// The objective assumed before the first claim.
 const DEFAULT_OBJECTIVE: Millis = Millis(1_000);
 
 /// A router and its number for a request.
@@ -66,6 +66,7 @@
     arrived: Vec<Id>,
     /// Decisions with their times; `None` for released claims.
     decided: HashMap<Id, (Option<ClaimState>, Millis)>,
+    /// The objective of the latest new claim, by which permits are computed.
     objective: Millis,
     started: Millis,
     saturated_at: Millis,
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Replaces the usable upstreams and their slots. Permits at other upstreams stay counted.
+    /// Replaces the listed upstreams and their slots. Permits in use at others stay counted.
     pub fn set_upstreams(&mut self, listed: &[(Arc<str>, u64)]) {
         for (name, upstream) in &mut self.upstreams {
             upstream.listed = listed.iter().any(|(other, _)| other == name);
@@ -117,8 +118,8 @@
         known.collect()
     }
 
-    /// Grants free permits and refuses requests that can't get one in time. New requests that
-    /// wait are also returned, as the reply confirms to their routers that the owner is alive.
+    /// Grants free permits and refuses claims that can't get one in time. Also returns new claims
+    /// that stay queued, so that their routers get a reply.
     pub fn decide(&mut self, now: Millis) -> Vec<Decision> {
         self.expire(now);
         let mut decisions = Vec::new();
@@ -129,7 +130,7 @@
             decisions.push(self.refuse(waiter, now));
         }
         for id in std::mem::take(&mut self.arrived) {
-            decisions.extend(self.waiting(id, now));
+            decisions.extend(self.queued(id, now));
         }
         if !self.queue.is_empty()
             || decisions.iter().any(|decision| matches!(decision.state, ClaimState::Refused(_)))
@@ -196,7 +197,7 @@
             id,
             workspace: claim.workspace.clone(),
             fingerprint: claim.fingerprint,
-            urgency: claim.priority,
+            priority: claim.priority,
             repeatable: claim.repeatable,
             arrived,
             deadline: arrived + self.max_wait(objective, now),
@@ -206,7 +207,7 @@
         None
     }
 
-    /// How long a request may wait here.
+    /// How long a claim may wait here.
     fn max_wait(&self, objective: Millis, now: Millis) -> Millis {
         if self.settings.wait == Wait::None {
             return Millis::ZERO;
@@ -298,13 +299,13 @@
         self.upstreams.iter().filter(move |(_, upstream)| is_usable(upstream))
     }
 
-    /// The number of requests per millisecond that the pool completes.
+    /// The estimated rate of the usable upstreams, in requests per millisecond.
     fn rate_per_ms(&self, now: Millis) -> f64 {
         self.usable(now).map(|(_, upstream)| upstream.limit.rate_per_ms()).sum()
     }
 
-    /// Takes the next request that can be granted, with the upstream that has the largest free
-    /// fraction among those that the request does not avoid.
+    /// Takes the next claim that can be granted, with the upstream that has the largest free
+    /// fraction among those that the claim does not avoid.
     fn next(&mut self, now: Millis) -> Option<(Waiter, Arc<str>)> {
         let free = self.free_upstreams(now);
         if free.is_empty() || self.queue.is_empty() {
@@ -344,7 +345,7 @@
         self.decision(waiter, ClaimState::Refused(after), now)
     }
 
-    fn waiting(&self, id: Id, now: Millis) -> Option<Decision> {
+    fn queued(&self, id: Id, now: Millis) -> Option<Decision> {
         let waiter = self.queue.get(&id)?;
         let (workspace, age) = (waiter.workspace.clone(), waiter.arrived.until(now));
         Some(Decision {
--- a/components/permits/src/limit.rs
+++ b/components/permits/src/limit.rs
@@ -1,8 +1,11 @@
 //! An adaptive concurrency limit for one upstream.
+//!
+//! The number of permits is the estimated concurrency of the upstream plus a margin for requests
+//! in transit and uneven arrivals.
 
 use clock::Millis;
 
-/// The initial limit of an upstream that lists no slots.
+/// The initial concurrency of an upstream that lists no slots.
 const DEFAULT_SLOTS: f64 = 4.0;
 
 /// The weight of the latest value in a moving average.
@@ -14,13 +17,14 @@
 /// How fast the lowest mean latency rises per answer, so that an outdated minimum is dropped.
 const MIN_LATENCY_RISE: f64 = 0.001;
 
-/// The factor applied to the limit after a refusal for lack of slots.
+/// The factor applied to the concurrency after a refusal for lack of slots.
 const REFUSAL_FACTOR: f64 = 0.85;
 
-/// The factor applied to the limit for each answer while the upstream is queueing.
+/// The factor applied to the concurrency for each answer while the upstream is queueing.
 const QUEUEING_FACTOR: f64 = 0.98;
 
-/// Growth of the limit over one round of answers, below and above the upstream's slots.
+/// The increase of the concurrency over as many answers as its value: below the slots, and above
+/// them if the upstream lists none.
 const RECOVERY_STEP: f64 = 0.5;
 const GROWTH_STEP: f64 = 0.25;
 
@@ -50,7 +54,7 @@
     min_latency: f64,
     /// Mean time that a permit is held, in milliseconds.
     held: Option<f64>,
-    /// When the limit was last lowered for a refusal.
+    /// When the concurrency was last lowered for a refusal.
     lowered: Millis,
     failures: u32,
     /// Refusals since the last answer.
@@ -96,7 +100,7 @@
         let latency = self.latency_ms();
         self.min_latency = (self.min_latency * (1.0 + MIN_LATENCY_RISE)).min(latency);
         if latency > self.min_latency * QUEUEING_RATIO {
-            // Queueing does not lower the limit below the listed slots.
+            // Queueing does not lower the concurrency below the listed slots.
             let floor = if self.listed { self.slots.min(self.concurrency) } else { 1.0 };
             self.concurrency = (self.concurrency * QUEUEING_FACTOR).max(floor);
         } else if self.concurrency < self.slots {
@@ -109,15 +113,15 @@
     }
 
     /// Records a refusal for lack of slots while `in_flight` permits were in use, including the
-    /// refused one. Lowers the limit at most once per round trip. A refusal of the only request,
-    /// or too many in a row, count as a failure.
+    /// refused one. Lowers the concurrency at most once per mean time that a permit is held. A
+    /// refusal of the only request, or too many in a row, count as a failure.
     pub fn record_refusal(&mut self, in_flight: usize, now: Millis) {
         self.refusals = self.refusals.saturating_add(1);
         if in_flight <= 1 || self.refusals > MAX_REFUSALS {
             return self.record_failure(now);
         }
-        let round_trip = Millis(whole(self.held.unwrap_or(100.0)));
-        if self.lowered.until(now) < round_trip && self.lowered > Millis::ZERO {
+        let interval = Millis(whole(self.held.unwrap_or(100.0)));
+        if self.lowered.until(now) < interval && self.lowered > Millis::ZERO {
             return;
         }
         self.lowered = now;
@@ -138,9 +142,9 @@
         self.backoff_until = now + Millis(backoff);
     }
 
-    /// The number of permits that may be in use at once: the upstream's concurrency, plus what
-    /// is in transit, plus a margin for uneven arrivals. The excess is bounded so that the queue
-    /// at the upstream takes no more than a fixed part of the objective.
+    /// The number of permits that may be in use at once: the concurrency, plus the requests in
+    /// transit, plus a margin for uneven arrivals. The sum of the latter two is bounded so that the
+    /// queue at the upstream takes no more than a fixed part of the objective.
     pub fn permits(&self, objective: Millis, now: Millis) -> usize {
         if self.backoff_until > now {
             return 0;
@@ -156,7 +160,7 @@
         permits
     }
 
-    /// The number of requests answered per millisecond.
+    /// The estimated rate at full use, in requests per millisecond.
     pub fn rate_per_ms(&self) -> f64 {
         self.concurrency / self.latency_ms().max(1.0)
     }
--- a/components/permits/src/queue.rs
+++ b/components/permits/src/queue.rs
@@ -1,11 +1,17 @@
 //! The order in which waiting requests get the permits of a pool.
 //!
-//! More urgent requests go first, but one permit in a few ignores urgency, which prevents
-//! starvation. Requests of equal urgency are ordered by start-time fair queueing: each workspace
-//! has a tag that grows with every permit it gets, and the lowest tag is next. A workspace that
-//! was idle resumes at the tag served last, so it neither saves up credit nor is charged for
-//! permits that no other workspace requested. Ties go to retries at their time, then to requests
-//! that must not be repeated, then to the earliest deadline.
+//! Requests that have waited for a certain part of their objective go first, by deadline. The
+//! others are sorted by these keys:
+//!
+//! 1. priority, which is ignored for every eighth permit (`FAIR_INTERVAL`) to prevent starvation;
+//! 2. early retries after all others;
+//! 3. the tag of the workspace, as in start-time fair queueing: it grows with every permit, so
+//!    that workspaces alternate. A workspace that was idle resumes at the tag served last, so it
+//!    neither saves up credit nor is charged for permits that no other workspace requested. A
+//!    retry at its time counts one tag less;
+//! 4. retries at their time first;
+//! 5. requests that must not be repeated first;
+//! 6. the earliest deadline.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,10 +20,11 @@
 
 use crate::retries::Timing;
 
-/// One permit out of this many ignores urgency.
+/// One permit out of this many ignores priority.
 const FAIR_INTERVAL: u32 = 8;
 
-/// The largest number of waiting requests, and of workspaces with a tag or a usage count.
+/// The largest number of waiting requests. Also the number of tags and of usage counts above
+/// which outdated ones are dropped.
 const MAX_ENTRIES: usize = 256;
 
 /// The part of its objective, as a divisor, after which a waiting request goes before newer
@@ -28,11 +35,11 @@
 /// margin covers variation around the expected wait.
 const WAIT_RATIO: f64 = 0.7;
 
-/// The same for workspaces over their share and for early retries.
-const LOW_PRIORITY_WAIT_RATIO: f64 = 0.1;
+/// The same for workspaces with heavy use and for early retries.
+const REDUCED_WAIT_RATIO: f64 = 0.1;
 
-/// The ratio to the mean usage above which a workspace is over its share.
-const OVER_SHARE_RATIO: f64 = 1.5;
+/// The ratio to the mean usage above which the use of a workspace is heavy.
+const HEAVY_USE_RATIO: f64 = 1.5;
 
 /// The half-life of usage counts, in milliseconds.
 const HALF_LIFE_MS: f64 = 1_000.0;
@@ -50,7 +57,7 @@
     /// The hash of the work.
     pub fingerprint: u64,
     /// Lower values go first.
-    pub urgency: i32,
+    pub priority: i32,
     /// Whether the request may be repeated.
     pub repeatable: bool,
     /// When it arrived relative to its retry time.
@@ -91,14 +98,14 @@
 
     /// The index in `waiting` of the next request.
     fn next<'a>(&self, waiting: impl Iterator<Item = &'a Waiter>, now: Millis) -> Option<usize> {
-        let ignores_urgency = (self.served + 1).is_multiple_of(FAIR_INTERVAL);
+        let ignores_priority = (self.served + 1).is_multiple_of(FAIR_INTERVAL);
         let order = |waiter: &Waiter| {
-            let urgency = if ignores_urgency { 0 } else { waiter.urgency };
+            let priority = if ignores_priority { 0 } else { waiter.priority };
             // A retry at its time goes one tag ahead of new requests.
             let ahead = u64::from(waiter.timing == Timing::OnTime);
             let tag = (self.tag(&waiter.workspace) + 1).saturating_sub(ahead);
-            // Early retries go last within their urgency.
-            (urgency, waiter.timing == Timing::Early, tag, waiter.timing, waiter.repeatable)
+            // Early retries go last within their priority.
+            (priority, waiter.timing == Timing::Early, tag, waiter.timing, waiter.repeatable)
         };
         let key = |waiter: &Waiter| {
             let order = (!waiter.is_protected(now)).then(|| order(waiter));
@@ -107,8 +114,8 @@
         waiting.enumerate().min_by_key(|(_, waiter)| key(waiter)).map(|(index, _)| index)
     }
 
-    /// The workspaces that are over their share.
-    fn over_share(&self, now: Millis) -> Vec<Arc<str>> {
+    /// The workspaces with heavy use.
+    fn heavy_users(&self, now: Millis) -> Vec<Arc<str>> {
         let usage = |(name, (count, at)): (&Arc<str>, &(f64, Millis))| {
             let count = decay(*count, *at, now);
             (count > MIN_USAGE).then(|| (name.clone(), count))
@@ -118,7 +125,7 @@
         let share = total / f64::from(u32::try_from(usage.len().max(1)).unwrap_or(u32::MAX));
         usage
             .into_iter()
-            .filter(|entry| entry.1 > share * OVER_SHARE_RATIO)
+            .filter(|entry| entry.1 > share * HEAVY_USE_RATIO)
             .map(|entry| entry.0)
             .collect()
     }
@@ -178,14 +185,14 @@
         let mut scheduler = self.scheduler.clone();
         let mut left: Vec<Waiter> = std::mem::take(&mut self.waiting);
         let mut shed = Vec::new();
-        let over_share = self.scheduler.over_share(now);
+        let heavy_users = self.scheduler.heavy_users(now);
         while let Some(next) = scheduler.next(left.iter(), now) {
             let waiter = left.remove(next);
             let position = u32::try_from(self.waiting.len() + 1).unwrap_or(u32::MAX);
             let wait = f64::from(position) / rate_per_ms.max(0.000_1);
-            let low_priority =
-                waiter.timing == Timing::Early || over_share.contains(&waiter.workspace);
-            let ratio = if low_priority { LOW_PRIORITY_WAIT_RATIO } else { WAIT_RATIO };
+            let is_reduced =
+                waiter.timing == Timing::Early || heavy_users.contains(&waiter.workspace);
+            let ratio = if is_reduced { REDUCED_WAIT_RATIO } else { WAIT_RATIO };
             if self.waiting.len() < MAX_ENTRIES && is_in_time(&waiter, wait / ratio, now) {
                 scheduler.advance(&waiter.workspace);
                 self.waiting.push(waiter);
--- a/components/permits/src/requester.rs
+++ b/components/permits/src/requester.rs
@@ -17,40 +17,42 @@
 /// The longest round-trip time that is recorded.
 const MAX_ROUND_TRIP: Millis = Millis(200);
 
-/// The part of its objective that a request waits for the owner's first reply. Between the
-/// bounds it is two round trips.
+/// Bounds on the wait for the owner's first reply, as percentages of the objective. Between them
+/// the wait is two round trips.
 const MIN_REPLY_WAIT_PERCENT: u64 = 20;
 const MAX_REPLY_WAIT_PERCENT: u64 = 40;
 
-/// The part of its objective that a request waits in the owner's queue.
+/// The longest time from the arrival of a request to the end of its wait in the owner's queue, as
+/// a percentage of the objective.
 const QUEUED_WAIT_PERCENT: u64 = 70;
 
 /// How many times a release is sent, as datagrams may be lost.
 const RELEASE_SENDS: u32 = 2;
 
-/// How long requests don't wait for an owner that has not replied.
+/// How long after an unanswered claim requests wait no longer than two round trips for the owner.
 const SILENCE_BACKOFF: Millis = Millis(400);
 
-/// The largest number of entries of a kind in a message, so that it fits a datagram.
-const MAX_ENTRIES: usize = 8;
+/// The largest number of releases in a message. The limits for claims and renewals derive from it,
+/// so that every message fits a datagram.
+const MAX_RELEASES: usize = 8;
 
 /// The lowest rate assumed for a pool, in requests per millisecond.
 const MIN_RATE: f64 = 0.001;
 
-/// The shortest time that a caller is asked to wait if this router refuses by itself.
+/// The shortest retry time that this router gives without the owner.
 const MIN_RETRY_AFTER: Millis = Millis(100);
 
 /// The largest number of expired claims that are kept to measure round trips.
 const MAX_EXPIRED: usize = 64;
 
-/// The outcome of a request for a permit.
+/// The outcome of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Resolution {
-    /// It may be sent to this upstream.
+    /// The request may be sent to this upstream.
     Granted(Arc<str>),
-    /// It is refused; its caller may retry after this many milliseconds.
+    /// The request is refused; its caller may retry after this many milliseconds.
     Refused(u64),
-    /// The owner did not reply; the request may be sent without a permit.
+    /// The owner did not decide in time; the request may be sent without a permit.
     Unanswered,
 }
 
@@ -78,7 +80,7 @@
     round_trip: Option<Millis>,
     renewed: Millis,
     silent_at: Option<Millis>,
-    /// Requests per millisecond that the pool completes.
+    /// The pool's estimated rate, in requests per millisecond.
     rate: f64,
     /// When this router may next send a request without a permit.
     next_send: Millis,
@@ -268,7 +270,7 @@
         }
         let held = by_upstream.into_iter().flat_map(|(upstream, numbers)| {
             let held = |chunk: &[u64]| Held { upstream: upstream.clone(), numbers: chunk.to_vec() };
-            numbers.chunks(MAX_ENTRIES * MAX_ENTRIES).map(held).collect::<Vec<_>>()
+            numbers.chunks(MAX_RELEASES * MAX_RELEASES).map(held).collect::<Vec<_>>()
         });
         held.collect()
     }
@@ -283,8 +285,8 @@
         let mut releases = releases.into_iter().peekable();
         while claims.peek().is_some() || releases.peek().is_some() {
             packed.push(Claims {
-                claims: claims.by_ref().take(MAX_ENTRIES / 2).collect(),
-                releases: releases.by_ref().take(MAX_ENTRIES).collect(),
+                claims: claims.by_ref().take(MAX_RELEASES / 2).collect(),
+                releases: releases.by_ref().take(MAX_RELEASES).collect(),
                 ..empty()
             });
         }
--- a/components/permits/tests/issuer.rs
+++ b/components/permits/tests/issuer.rs
@@ -19,7 +19,7 @@
     Claim {
         router: u8,
         workspace: u8,
-        urgency: i32,
+        priority: i32,
     },
     /// Sends an earlier claim again.
     Repeat(usize),
@@ -37,7 +37,7 @@
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         10 => (0..4_u8, 0..5_u8, 0..3_i32)
-            .prop_map(|(router, workspace, urgency)| Step::Claim { router, workspace, urgency }),
+            .prop_map(|(router, workspace, priority)| Step::Claim { router, workspace, priority }),
         3 => any::<usize>().prop_map(Step::Repeat),
         8 => (any::<usize>(), 0..4_u8).prop_map(|(which, end)| Step::Release { which, end }),
         3 => (0..4_u8).prop_map(|router| Step::Renew { router }),
@@ -78,14 +78,14 @@
 
     fn apply(&mut self, step: &Step) {
         match step {
-            Step::Claim { router, workspace, urgency } => {
+            Step::Claim { router, workspace, priority } => {
                 let number = self.claims.len() as u64 + 1;
                 let claim = Claim {
                     number,
                     workspace: format!("w-{workspace}").into(),
                     // Fingerprints of different workspaces differ.
                     fingerprint: number / 2 * 8 + u64::from(*workspace),
-                    priority: *urgency,
+                    priority: *priority,
                     objective_ms: OBJECTIVE,
                     ..Claim::default()
                 };
@@ -183,9 +183,9 @@
     }
 
     #[test]
-    fn a_workspace_within_its_share_is_served_beside_one_over_its_share(many in 6..40_u64) {
+    fn a_workspace_with_light_use_is_served_beside_one_with_heavy_use(many in 6..40_u64) {
         let mut fixture = Fixture::new();
-        let claim = |workspace| Step::Claim { router: 0, workspace, urgency: 1 };
+        let claim = |workspace| Step::Claim { router: 0, workspace, priority: 1 };
         for round in 0..200 {
             for _ in 0..many / 6 {
                 fixture.apply(&claim(0));
--- a/components/permits/tests/loads/main.rs
+++ b/components/permits/tests/loads/main.rs
@@ -12,7 +12,7 @@
 /// a small part of the objective.
 const MIN_UTILIZATION: f64 = 0.95;
 
-/// The same where messages take a larger part of the objective.
+/// The same where messages are lost or take a larger part of the objective.
 const MIN_UTILIZATION_DELAYED: f64 = 0.80;
 
 fn check(setup: &Setup, min_utilization: f64) -> Totals {
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn retries_at_their_time_succeed_more_often_than_late_or_early_ones() {
+fn early_retries_succeed_less_often_than_others() {
     let success = |retry| {
         let totals = check(&Setup { demand: 1.25, retry, ..Setup::default() }, 0.9);
         let [served, refused] = totals.retries;
@@ -115,6 +115,6 @@
 }
 
 #[test]
-fn a_router_without_replies_from_the_owner_costs_its_share_of_utilization() {
+fn a_router_without_replies_from_the_owner_costs_little_utilization() {
     check(&Setup { cut: Some(3), ..Setup::default() }, 0.85);
 }
--- a/components/placement/src/bound.rs
+++ b/components/placement/src/bound.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The load of a pool of upstreams that serve the same model.
+/// The total load of a pool of upstreams that serve the same model.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pool {
     /// The total load, in tokens.
@@ -11,7 +11,7 @@
     pub members: u32,
 }
 
-/// The limit on the load of an upstream relative to the mean of its pool.
+/// The bound on the load of an upstream relative to the mean of its pool.
 ///
 /// In a pool of `n` members with a total load of `L` tokens, an upstream with load `l` admits a
 /// request of weight `w` if
@@ -20,8 +20,8 @@
 /// l + w <= max(floor, c * (1 - margin) * (L + w) / n + extra)
 /// ```
 ///
-/// `L` is known with a delay. The `margin` covers requests that end meanwhile, so that `c` also
-/// holds against the current load of the pool.
+/// `L` is known with a delay and may include requests that have ended since. The `margin` lowers
+/// the bound so that it also holds for the current load.
 ///
 /// The `floor` applies in a nearly idle pool, where one request is many times the mean. An idle
 /// upstream (`l = 0`) admits any request.
@@ -35,7 +35,7 @@
     /// `margin`: the fraction by which the multiple is reduced, below one.
     #[serde(default = "default_margin")]
     pub margin: f64,
-    /// `extra`: the load allowed beyond the multiple, in the unit of the weights.
+    /// `extra`: added to the multiple of the mean, in the unit of the loads.
     #[serde(default)]
     pub extra: u64,
 }
@@ -53,7 +53,7 @@
 }
 
 impl Bound {
-    /// The largest load of an upstream, including a new request of `weight`.
+    /// The bound in tokens: the largest load of an upstream, including a new request of `weight`.
     pub fn ceiling(&self, pool: Pool, weight: u64) -> u64 {
         let members = f64::from(pool.members.max(1));
         #[expect(
@@ -62,9 +62,9 @@
             clippy::cast_sign_loss,
             reason = "loads stay far below 2^53"
         )]
-        let share =
+        let multiple =
             (self.multiple * (1.0 - self.margin) * (pool.load + weight) as f64 / members) as u64;
-        share.saturating_add(self.extra).max(self.floor)
+        multiple.saturating_add(self.extra).max(self.floor)
     }
 
     /// Whether an upstream with `load` admits a request of `weight`.
--- a/components/routing/src/admission/shares.rs
+++ b/components/routing/src/admission/shares.rs
@@ -116,7 +116,7 @@
         if late {
             pool.record_refusal(request.arrival.fingerprint, now);
         } else {
-            pool.record_deferral(request.arrival.fingerprint, now);
+            pool.record_share_refusal(request.arrival.fingerprint, now);
         }
     }
 
--- a/components/shares/src/count.rs
+++ b/components/shares/src/count.rs
@@ -2,8 +2,8 @@
 
 use clock::Millis;
 
-/// The half-life of a counted request, in milliseconds. The same as for wait estimates, so that
-/// shares and waits describe the same load.
+/// The half-life of a counted request, in milliseconds. Equal to that of the wait estimates in the
+/// crate `routing`.
 const HALF_LIFE_MS: f64 = 2_000.0;
 
 /// Requested and served requests, as decaying sums.
--- a/components/shares/src/ledger.rs
+++ b/components/shares/src/ledger.rs
@@ -13,8 +13,7 @@
 /// The demand below which a counter is ignored, in requests.
 const MIN_DEMAND: f64 = 0.01;
 
-/// How many refusals are kept by fingerprint, and for how long. Callers usually retry within a
-/// few seconds.
+/// The number of refusals kept to recognize retries, and how long each is kept.
 const MAX_REFUSED: usize = 4_096;
 const REFUSED_TTL: Millis = Millis(6_000);
 
@@ -75,17 +74,17 @@
         }
         let mut workspaces: Vec<_> = workspaces.into_values().collect();
         workspaces.sort_by(|one, other| other.0.total_cmp(&one.0));
-        let (mut listed, mut rest, mut count) = (Vec::new(), Counter::default(), 0);
+        let (mut listed, mut remainder, mut count) = (Vec::new(), Counter::default(), 0);
         for (_, demands, total) in workspaces {
             if count == 0 && listed.len() + demands.len() <= MAX_DEMANDS {
                 listed.extend(demands);
                 continue;
             }
             count += 1;
-            rest.requested += total.requested;
-            rest.served += total.served;
+            remainder.requested += total.requested;
+            remainder.served += total.served;
         }
-        let (requested, served) = (tenths(rest.requested), tenths(rest.served));
+        let (requested, served) = (tenths(remainder.requested), tenths(remainder.served));
         (listed, Remainder { workspaces: count, requested, served })
     }
 
--- a/components/shares/src/lib.rs
+++ b/components/shares/src/lib.rs
@@ -5,6 +5,9 @@
 //! shares of the requests that the pool serves ([`max_min_level`]) and the [`Standing`] of a
 //! workspace relative to its share. It refuses nothing itself.
 //!
+//! A request counts as served once it is sent to the pool. A pool is starving while workspaces
+//! within their shares are refused.
+//!
 //! The unit is the request. Counts decay and stand for rates: all counts of a pool decay alike,
 //! so only their proportions matter.
 
--- a/components/shares/src/pool.rs
+++ b/components/shares/src/pool.rs
@@ -10,10 +10,11 @@
 use crate::summary::{MAX_DEMANDS, Summary};
 use crate::view::View;
 
-/// How long a pool counts as saturated after the last sign of it.
+/// How long a pool counts as saturated after this was last observed.
 const SATURATED_TTL: Millis = Millis(2_000);
 
-/// How long workspaces count as starving after one was refused. Covers two summary intervals.
+/// How long a pool counts as starving after a workspace within its share was refused. Covers two
+/// summary intervals.
 const STARVING_TTL: Millis = Millis(800);
 
 /// How long a router's last summary is valid. Covers several summary intervals.
@@ -35,7 +36,7 @@
     /// Until when the pool counts as saturated, as observed here and as reported by others.
     saturated_until: Millis,
     reported_saturated_until: Millis,
-    /// The same for workspaces within their shares that are refused.
+    /// The same for starving.
     starving_until: Millis,
     reported_starving_until: Millis,
 }
@@ -57,13 +58,13 @@
         self.mark_saturated(now);
     }
 
-    /// Records a refusal in favor of other workspaces. It does not mark the pool as saturated,
-    /// as that would prolong the saturation by itself.
-    pub fn record_deferral(&mut self, fingerprint: u64, now: Millis) {
+    /// Records the refusal of a workspace over its share. It does not mark the pool as saturated,
+    /// as the saturation would then renew itself.
+    pub fn record_share_refusal(&mut self, fingerprint: u64, now: Millis) {
         self.own.record_refusal(fingerprint, now);
     }
 
-    /// Records a sign that the pool is saturated.
+    /// Records that the pool was observed to be saturated.
     pub fn mark_saturated(&mut self, now: Millis) {
         self.saturated_until = now + SATURATED_TTL;
     }
@@ -73,7 +74,7 @@
         self.starving_until = now + STARVING_TTL;
     }
 
-    /// Whether workspaces within their shares are refused, at this router or at others.
+    /// Whether workspaces within their shares were recently refused, at this router or at others.
     pub fn is_starving(&self, now: Millis) -> bool {
         now < self.starving_until.max(self.reported_starving_until)
     }
@@ -104,8 +105,8 @@
 
     /// Returns this router's summary for the others; `None` unless the pool is saturated.
     ///
-    /// Saturation that others reported is not passed on, as routers would keep each other
-    /// saturated.
+    /// Its flags are set only for what was observed here. Otherwise routers would prolong a
+    /// saturation by repeating each other's reports.
     pub fn summarize(&self, now: Millis) -> Option<Summary> {
         if !self.is_saturated(now) {
             return None;
--- a/components/shares/src/standing.rs
+++ b/components/shares/src/standing.rs
@@ -9,7 +9,7 @@
 /// A workspace's demand and share in a pool, for requests of one priority.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Standing {
-    /// Whether the workspace is over its share.
+    /// The demand relative to the share and to other workspaces.
     pub rank: Rank,
     /// Its demand at this and more urgent priorities, as a decaying count of requests.
     pub demand: f64,
@@ -21,17 +21,19 @@
     pub age_ms: Option<u64>,
 }
 
-/// The demand of a workspace relative to its share.
+/// The demand of a workspace relative to its share and to other workspaces. A workspace is over
+/// its share if it is ranked [`Rank::Over`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rank {
-    /// The demand is within the share.
+    /// The share covers the demand.
     Below,
-    /// The demand exceeds the share, and the other workspaces are no better off.
+    /// The demand exceeds the share, but no more than that of other workspaces, or it is too small
+    /// to compare.
     #[default]
     At,
-    /// The share covers a smaller part of the demand than the shares of the other workspaces do,
-    /// by this ratio.
+    /// The share covers a smaller part of the demand than the shares of other workspaces do. The
+    /// value is the ratio of the two parts, above 1.
     Over(f64),
 }
 
@@ -55,9 +57,9 @@
 }
 
 impl Standing {
-    /// The fraction of its requests that the workspace may send if waits permit. Below 1 only
-    /// while it is served beyond its share. The excess is reduced by `factor` times, so that the
-    /// other workspaces get their shares while the burst lasts.
+    /// The fraction of the workspace's requests to admit. Below 1 only while it is over its share
+    /// and served beyond it: the fraction served beyond the share is subtracted `factor` times,
+    /// down to a lower bound.
     pub fn admitted_ratio(&self, factor: f64) -> f64 {
         if !matches!(self.rank, Rank::Over(_)) || self.served <= self.share {
             return 1.0;
--- a/components/shares/src/summary.rs
+++ b/components/shares/src/summary.rs
@@ -6,14 +6,15 @@
 /// The largest number of entries in a summary, so that it fits one datagram.
 pub const MAX_DEMANDS: usize = 32;
 
-/// The demand on one pool at one router: the largest workspaces by name, the others as a sum.
+/// The demand on one pool at one router: the workspaces with the largest demand individually, the
+/// others as a total.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
     /// When it was made, by the router's clock. A later summary replaces an earlier one.
     pub at: Millis,
     /// Whether this router itself has observed that the pool is saturated.
     pub saturated: bool,
-    /// Whether this router has recently refused workspaces that are within their shares.
+    /// Whether this router has recently refused requests of workspaces within their shares.
     pub starving: bool,
     /// The workspaces with the largest demand.
     pub demands: Vec<Demand>,
@@ -28,7 +29,7 @@
     pub workspace: u64,
     /// Lower values are more urgent.
     pub priority: i32,
-    /// The requests received, without retries.
+    /// The demand: requests received without retries, at least those served.
     pub requested: u32,
     /// The requests sent to the pool.
     pub served: u32,
@@ -39,7 +40,7 @@
 pub struct Remainder {
     /// The number of workspaces.
     pub workspaces: u32,
-    /// The requests received.
+    /// The demand: requests received without retries, at least those served.
     pub requested: u32,
     /// The requests sent to the pool.
     pub served: u32,
--- a/components/shares/src/view.rs
+++ b/components/shares/src/view.rs
@@ -9,8 +9,8 @@
 use crate::standing::{Rank, Standing};
 use crate::summary::{Summary, requests};
 
-/// How far a workspace may exceed the others before it is over its share. Covers random arrivals
-/// and differences between the views of routers.
+/// The margin above 1 from which on a ratio counts as [`Rank::Over`]. Covers random arrivals and
+/// differences between the views of routers.
 const TOLERANCE: f64 = 0.25;
 
 /// The demand of a pool, and of a workspace, below which it is not ranked, in requests.
@@ -26,7 +26,8 @@
     pub estimated: f64,
     /// The requests sent to the pool.
     pub served: f64,
-    /// The parts of remainders that don't include the workspace: demand and served.
+    /// The estimates from summaries that list the workspace: demand and served. They are subtracted,
+    /// as it is not part of their remainders.
     excluded: (f64, f64),
 }
 
@@ -48,7 +49,7 @@
     pub at: Millis,
     pub workspaces: BTreeMap<u64, Workspace>,
     level: f64,
-    /// The total demand, and the part of it within shares.
+    /// The total demand, and the sum of all shares.
     demand: f64,
     shares: f64,
     /// The age of the oldest summary.
@@ -79,19 +80,21 @@
                 add(demand.workspace, demand.priority, requested * decay(age), served * decay(age));
             }
         }
-        let unknown = spread_remainders(&mut workspaces, summaries.clone());
+        let unlisted = spread_remainders(&mut workspaces, summaries.clone());
         let age = summaries.map(|entry| entry.0).max();
-        Self::allocate(workspaces, unknown, age, weight, now)
+        Self::allocate(workspaces, unlisted, age, weight, now)
     }
 
+    /// Computes the shares. `unlisted` has the number of unlisted workspaces, and their total demand
+    /// and served requests.
     fn allocate(
         workspaces: BTreeMap<u64, Workspace>,
-        unknown: (f64, f64, f64),
+        unlisted: (f64, f64, f64),
         age: Option<Millis>,
         weight: impl Fn(u64) -> f64,
         now: Millis,
     ) -> Self {
-        let (count, requested, served) = unknown;
+        let (count, requested, served) = unlisted;
         let group = |(name, workspace): (&u64, &Workspace)| Group {
             demand: workspace.demand(),
             weight: weight(*name),
@@ -138,23 +141,23 @@
     }
 }
 
-/// Spreads the remainders of summaries evenly over the workspaces that may be part of them.
-/// Returns the estimated number of unlisted workspaces, and their total demand and served
-/// requests.
+/// Spreads the remainder of each summary evenly over the workspaces that it does not list.
+/// Returns the estimated number of workspaces that are in no list, and their total demand and
+/// served requests.
 fn spread_remainders<'a>(
     workspaces: &mut BTreeMap<u64, Workspace>,
     summaries: impl Iterator<Item = (Millis, &'a Summary)>,
 ) -> (f64, f64, f64) {
     let known = to_f64(workspaces.len());
     let mut each = (0.0, 0.0);
-    let mut unknown = (0.0_f64, 0.0, 0.0);
+    let mut unlisted = (0.0_f64, 0.0, 0.0);
     for (age, summary) in summaries {
         let mut listed: Vec<u64> = summary.demands.iter().map(|demand| demand.workspace).collect();
         listed.sort_unstable();
         listed.dedup();
-        let others = known - to_f64(listed.len());
+        let candidates = known - to_f64(listed.len());
         let count = f64::from(summary.remainder.workspaces);
-        let among = count.max(others);
+        let among = count.max(candidates);
         if among <= 0.0 {
             continue;
         }
@@ -168,14 +171,15 @@
                 workspace.excluded.1 += served;
             }
         }
-        let more = among - others;
-        unknown = (unknown.0.max(more), unknown.1 + requested * more, unknown.2 + served * more);
+        let more = among - candidates;
+        unlisted =
+            (unlisted.0.max(more), unlisted.1 + requested * more, unlisted.2 + served * more);
     }
     for workspace in workspaces.values_mut() {
         workspace.estimated = (each.0 - workspace.excluded.0).max(0.0);
         workspace.served += (each.1 - workspace.excluded.1).max(0.0);
     }
-    unknown
+    unlisted
 }
 
 #[expect(clippy::cast_precision_loss, reason = "counts are far below 2^53")]
--- a/components/shares/tests/pool.rs
+++ b/components/shares/tests/pool.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn urgent_requests_of_a_workspace_over_its_share_are_within_it() {
+fn urgent_requests_are_within_the_share_of_a_workspace_that_exceeds_it() {
     let mut pool = Pool::default();
     record(&mut pool, HOT, URGENT, 10, 5);
     record(&mut pool, HOT, LESS_URGENT, 70, 35);
@@ -169,9 +169,9 @@
 }
 
 #[test]
-fn a_deferral_does_not_mark_the_pool_as_saturated() {
+fn a_refusal_for_shares_does_not_mark_the_pool_as_saturated() {
     let mut pool = Pool::default();
-    pool.record_deferral(1, NOW);
+    pool.record_share_refusal(1, NOW);
     assert!(!pool.is_saturated(NOW));
     pool.record_request(HOT, URGENT, 1, NOW);
     assert!(standing(&mut pool, HOT, URGENT).demand < 1.0);
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn a_workspace_served_beyond_its_share_gives_back_the_excess() {
+fn a_workspace_served_beyond_its_share_is_admitted_in_part() {
     let mut pool = Pool::default();
     record(&mut pool, HOT, URGENT, 80, 60);
     for workspace in 2..12 {
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn a_workspace_over_its_share_gives_back_nothing_if_the_others_are_served() {
+fn a_workspace_over_its_share_is_admitted_fully_if_the_others_are_served() {
     let mut pool = Pool::default();
     record(&mut pool, HOT, URGENT, 80, 40);
     for workspace in 2..12 {
@@ -260,14 +260,14 @@
 }
 
 #[test]
-fn starvation_is_reported_but_not_passed_on_and_expires() {
+fn starving_is_reported_but_not_passed_on_and_expires() {
     let mut pool = Pool::default();
     pool.receive(&other(), summary(1, HOT, 30, 10), NOW);
     assert!(pool.is_starving(NOW + Millis(700)));
     assert!(!pool.is_starving(NOW + Millis(900)));
     assert!(
         pool.summarize(NOW).is_some_and(|summary| !summary.starving),
-        "reported starvation is not passed on"
+        "reported starving is not passed on"
     );
     pool.mark_starving(NOW);
     assert!(pool.summarize(NOW).is_some_and(|summary| summary.starving));
