--- a/components/permits/src/queue.rs
+++ b/components/permits/src/queue.rs
@@ -122,10 +122,10 @@
         };
         let usage: Vec<_> = self.usage.iter().filter_map(usage).collect();
         let total: f64 = usage.iter().map(|entry| entry.1).sum();
-        let share = total / f64::from(u32::try_from(usage.len().max(1)).unwrap_or(u32::MAX));
+        let mean = total / f64::from(u32::try_from(usage.len().max(1)).unwrap_or(u32::MAX));
         usage
             .into_iter()
-            .filter(|entry| entry.1 > share * HEAVY_USE_RATIO)
+            .filter(|entry| entry.1 > mean * HEAVY_USE_RATIO)
             .map(|entry| entry.0)
             .collect()
     }
