--- a/components/experiment/src/overload/fleet.rs
+++ b/components/experiment/src/overload/fleet.rs
@@ -160,7 +160,7 @@
             Happening::Step(engine) => self.step(engine),
             Happening::Answer { owner, signal } => self.answer(owner, signal),
             Happening::Silence { owner, timeout } => self.silence(owner, timeout),
-            Happening::Waited { router, id } => self.apply(router, id, Event::WaitElapsed { id }),
+            Happening::Waited { router, id } => self.apply(router, id, Event::Due { id }),
             Happening::Loads => self.tell_loads(),
             Happening::Waits => self.tell_waits(),
             Happening::Change => self.change(),
@@ -193,7 +193,7 @@
         for effect in self.routers[router].apply(event, self.now) {
             match effect {
                 Effect::Send(attempt) => self.send(router, id, &attempt),
-                Effect::Wait(pause) => {
+                Effect::Postpone(pause) => {
                     self.queue.add(self.now + pause, Happening::Waited { router, id });
                 }
                 Effect::Cancel => self.cancel(router, id),
--- a/components/experiment/src/world.rs
+++ b/components/experiment/src/world.rs
@@ -295,10 +295,10 @@
                     let event = Event::ToSidecar { router, id, attempt, sidecar, open };
                     self.queue.add(self.later(), event);
                 }
-                routing::Effect::UpdateDirectory { upstream, note, .. } => {
+                routing::Effect::UpdateDirectory { upstream, update, .. } => {
                     self.outcome.notes += 1;
                     let sidecar = self.by_name[&upstream];
-                    self.queue.add(self.later(), Event::Note { sidecar, note });
+                    self.queue.add(self.later(), Event::Note { sidecar, note: update });
                 }
                 routing::Effect::Finish => self.outcome.answered += 1,
                 routing::Effect::Fail(_) | routing::Effect::Abort(_) => self.outcome.refused += 1,
--- a/components/router/src/background.rs
+++ b/components/router/src/background.rs
@@ -152,8 +152,8 @@
 async fn send_directory_updates(core: Rc<Core>, mut directory_updates: Receiver<Effect>) {
     let timeout = Duration::from_millis(core.settings.connect_ms);
     while let Some(effect) = directory_updates.recv().await {
-        let Effect::UpdateDirectory { upstream, address, note } = effect else { continue };
-        let frame = Frame::DirectoryUpdate(note);
+        let Effect::UpdateDirectory { upstream, address, update } = effect else { continue };
+        let frame = Frame::DirectoryUpdate(update);
         core.metrics.control("note", wire::encode(&frame).map_or(0, |frame| frame.len()));
         let exchange = async {
             if let Ok((mut call, _)) = core.links.call(&upstream, &address, &frame).await {
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -171,7 +171,9 @@
             Effect::Claim { pool, claim } => self.claim(&pool, claim).await,
             Effect::UpdateDirectory { .. } => self.core.queue_update(effect),
             Effect::CloseIdle { address } => self.core.client().forget(&address),
-            Effect::Wait(backoff) => self.backoff_until = Some(Instant::now() + backoff.duration()),
+            Effect::Postpone(backoff) => {
+                self.backoff_until = Some(Instant::now() + backoff.duration())
+            }
             Effect::Record(_)
             | Effect::Connect { .. }
             | Effect::PublishPrefixes(_)
@@ -311,7 +313,7 @@
         let (id, attempt) = (self.id, self.attempt);
         if let Some(until) = self.backoff_until.take() {
             tokio::time::sleep_until(until).await;
-            return self.apply(Event::WaitElapsed { id });
+            return self.apply(Event::Due { id });
         }
         let Some(call) = &mut self.call else {
             return std::future::pending().await;
--- a/components/routing/src/admission.rs
+++ b/components/routing/src/admission.rs
@@ -6,8 +6,9 @@
 //! be late at every upstream is refused before it is sent, with a retry time that spreads the
 //! returning callers ([`retry_after`]).
 //!
-//! The queue is counted in requests whose answers have not begun, not in occupied slots, because
-//! reading long prompts delays answers while slots are free.
+//! A request is queued until its answer begins, and its wait is the time until then beyond the time
+//! that an answer takes to begin without a queue. Occupied slots are not counted, because long
+//! prefills delay answers while slots are free.
 
 mod estimator;
 mod flow;
@@ -27,10 +28,10 @@
 pub(crate) use self::shares::Shares;
 pub(crate) use flow::Flow;
 
-/// Expected delay of one request at an upstream.
+/// Expected wait of one request at an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Forecast {
-    /// Requests there whose answers have not begun.
+    /// Requests queued there.
     pub queued: u64,
     /// Estimated wait for these, in milliseconds.
     pub wait_ms: f64,
@@ -43,15 +44,15 @@
             return Forecast::default();
         };
         let waiting = upstream.estimated_waiting(estimate);
-        let usual = waiting
+        let nominal = waiting
             .map_or_else(Forecast::default, |queued| flow.forecast(priority, queued, estimate.now));
         if !self.settings.mechanisms.pace {
-            return usual;
+            return nominal;
         }
         let base_ms = flow.base_ms(priority);
         Forecast {
-            wait_ms: upstream.pace.expected_wait_ms(base_ms, usual.wait_ms, estimate.now),
-            ..usual
+            wait_ms: upstream.pace.expected_wait_ms(base_ms, nominal.wait_ms, estimate.now),
+            ..nominal
         }
     }
 
@@ -64,8 +65,8 @@
         self.forecast(&request.pool, request.priority, name, &estimate)
     }
 
-    /// Moves the first candidate whose wait is within the limit to the front, or else the one with
-    /// the shortest wait; the best candidate is last. `limit_ratio` is the part of the limit
+    /// Moves to the end, where the best candidate is, the best-ranked one whose wait is within the
+    /// limit, or else the one with the shortest wait. `limit_ratio` is the part of the limit
     /// granted to the request's workspace.
     pub(crate) fn prefer_in_time(
         &self,
@@ -105,7 +106,7 @@
         let standing = self.standing(id, now);
         let limit = full_limit * self.shares.limit_ratio(&pool, standing, now);
         let late = wait > limit;
-        if !late && !self.must_yield(id, standing, now) {
+        if !late && !self.draw_refusal(id, standing, now) {
             return None;
         }
         self.record_rejection(id, standing, late, now);
@@ -137,8 +138,8 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let weight = request.arrival.weight;
         let (pool, priority) = (request.pool.clone(), request.priority);
-        let Some(last) = request.tries.last_mut().filter(|last| last.is_waiting) else { return };
-        last.is_waiting = false;
+        let Some(last) = request.tries.last_mut().filter(|last| last.is_queued) else { return };
+        last.is_queued = false;
         if let Some(upstream) = self.upstreams.get_mut(&last.upstream) {
             upstream.remove_waiting(weight);
         }
--- a/components/routing/src/admission/shares.rs
+++ b/components/routing/src/admission/shares.rs
@@ -1,4 +1,7 @@
 //! In a saturated pool, requests of workspaces over their share are refused first.
+//!
+//! Here, a pool is saturated while waits are close to the limit, at this router or another one.
+//! This is independent of the saturation that requires permits.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,10 +15,11 @@
 use crate::Effect;
 use crate::state::State;
 
-/// A shortest wait above this fraction of the limit marks the pool as saturated.
+/// A wait above this fraction of the full limit, at the upstream to be tried, marks the pool as
+/// saturated.
 const SATURATION_RATIO: f64 = 0.8;
 
-/// Smallest fraction of the wait limit left to a workspace over its share.
+/// Smallest fraction of the full limit left to a workspace over its share.
 const MIN_LIMIT_RATIO: f64 = 0.4;
 
 /// Demand on all pools.
@@ -42,8 +46,8 @@
         self.pools.entry(name.clone()).or_default()
     }
 
-    /// Fraction of the wait limit granted to a workspace: all of it, unless the workspace is over
-    /// its share and others are starving.
+    /// Fraction of the full wait limit granted to a workspace: all of it, unless the workspace is
+    /// over its share and others within their shares are refused.
     pub(super) fn limit_ratio(&self, pool: &str, standing: Option<Standing>, now: Millis) -> f64 {
         if !self.pools.get(pool).is_some_and(|pool| pool.is_starving(now)) {
             return 1.0;
@@ -95,8 +99,8 @@
         pool.record_sent(hash(&request.arrival.workspace), request.priority, now);
     }
 
-    /// Records a refused request and its workspace's standing; `late` is false if it yields to
-    /// other workspaces.
+    /// Records a refused request and its workspace's standing; `late` is false if it was
+    /// refused by [`State::draw_refusal`].
     pub(crate) fn record_rejection(
         &mut self,
         id: u64,
@@ -120,7 +124,8 @@
         }
     }
 
-    /// Marks the pool as saturated if its shortest wait is close to the limit.
+    /// Marks the pool as saturated if the wait at the upstream to be tried is close to the full
+    /// limit.
     pub(crate) fn detect_saturation(&mut self, pool: &Arc<str>, wait_ratio: f64, now: Millis) {
         if self.enforces_shares() && wait_ratio > SATURATION_RATIO {
             self.shares.pool(pool).mark_saturated(now);
@@ -137,9 +142,14 @@
         self.shares.standing(&request.pool, workspace, request.priority, now)
     }
 
-    /// Whether an unsent request yields to other workspaces although its wait is short. Waits alone
-    /// do not separate workspaces where queues are either empty or too long.
-    pub(crate) fn must_yield(&mut self, id: u64, standing: Option<Standing>, now: Millis) -> bool {
+    /// Draws whether an unsent request of a workspace over its share is refused although its wait
+    /// is within the limit, while others within their shares are refused.
+    pub(crate) fn draw_refusal(
+        &mut self,
+        id: u64,
+        standing: Option<Standing>,
+        now: Millis,
+    ) -> bool {
         let Some(request) = self.requests.get(&id).filter(|request| request.tries.is_empty())
         else {
             return false;
@@ -152,7 +162,7 @@
         admitted < 1.0 && !self.rng.random_bool(admitted)
     }
 
-    /// Fraction of the wait limit granted to a workspace.
+    /// Fraction of the full wait limit granted to a workspace.
     pub(crate) fn share_limit_ratio(
         &mut self,
         pool: &str,
--- a/components/routing/src/effect.rs
+++ b/components/routing/src/effect.rs
@@ -11,12 +11,12 @@
 /// An action for the edge to carry out.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Look up the owner of a key in the platform's service, or register `owner` if it has none.
-    /// Answered by `KeyBound`.
+    /// Bind a key to `owner` in the platform's service, unless it has a key owner. Answered by
+    /// `KeyBound` with the key's owner.
     BindKey {
         /// The key, unique within the workspace.
         key: Arc<str>,
-        /// Owner to register.
+        /// The proposed key owner.
         owner: Owner,
     },
     /// Send an attempt; replies to earlier attempts are ignored from now on.
@@ -42,17 +42,17 @@
         /// Address of its sidecar.
         address: Arc<str>,
         /// The new entry.
-        note: DirectoryUpdate,
+        update: DirectoryUpdate,
     },
-    /// Report to the other routers which prefixes an upstream has cached or is reading.
+    /// Report to the other routers which prefixes an upstream has cached or is prefilling.
     PublishPrefixes(WarmPrefixes),
     /// Close the idle connections to an upstream.
     CloseIdle {
         /// Address of the upstream.
         address: Arc<str>,
     },
-    /// Delay the request; `WaitElapsed` follows.
-    Wait(Millis),
+    /// Postpone sending the request; `Due` follows.
+    Postpone(Millis),
     /// An upstream is suspect and receives no requests for now; for the log.
     Suspect {
         /// Name of the upstream.
@@ -91,8 +91,8 @@
     },
     /// Report crashes to all routers, including those that start later.
     ReportCrashes(Vec<Crash>),
-    /// Report to all routers, including those that start later, that work was answered in full and
-    /// is not quarantined.
+    /// Report to all routers, including those that start later, that work is cleared: it was
+    /// answered in full, so it is not quarantined.
     ReportCleared(Crash),
     /// Work is quarantined; for the log.
     Quarantine {
@@ -108,7 +108,7 @@
         /// Address of the sidecar.
         address: Arc<str>,
     },
-    /// Ask the owner of a saturated pool for a permit. Answered by `Granted`, `Denied` or
+    /// Ask the pool owner of a saturated pool for a permit. Answered by `Granted`, `Denied` or
     /// `Unanswered`.
     Claim {
         /// Name of the pool.
@@ -116,7 +116,7 @@
         /// The claim to send.
         claim: Claim,
     },
-    /// Return a permit, or withdraw a claim.
+    /// Release a permit, or withdraw a claim.
     Release {
         /// Name of the pool.
         pool: Arc<str>,
@@ -127,7 +127,7 @@
         /// How long the attempt took at the upstream.
         elapsed: Millis,
     },
-    /// Report to the pool's owner that the pool is saturated.
+    /// Report to the pool owner that the pool refuses requests for lack of free slots.
     ReportSaturation {
         /// Name of the pool.
         pool: Arc<str>,
--- a/components/routing/src/event.rs
+++ b/components/routing/src/event.rs
@@ -18,11 +18,11 @@
 pub enum Event {
     /// A complete request arrived from a caller.
     Arrival(Arrival),
-    /// The owner of an idempotency key was resolved.
+    /// An idempotency key was bound to its key owner.
     KeyBound {
         /// Internal id of the request.
         id: u64,
-        /// The owner; `None` if it could not be determined.
+        /// The key owner; `None` if it could not be determined.
         owner: Option<Owner>,
     },
     /// A frame arrived in answer to an attempt.
@@ -112,7 +112,7 @@
         /// Upstream that the permit is for.
         upstream: Arc<str>,
     },
-    /// The pool owner refused a permit.
+    /// The permit was refused by the pool owner or, without its decision, by this router.
     Denied {
         /// Internal id of the request.
         id: u64,
@@ -121,14 +121,14 @@
         /// Time after which the caller may retry, in milliseconds.
         after_ms: u64,
     },
-    /// The pool owner did not answer, and the request fits this router's local quota.
+    /// The pool owner did not decide in time; the request may be sent without a permit.
     Unanswered {
         /// Internal id of the request.
         id: u64,
         /// Number of the claim.
         number: u64,
     },
-    /// A pool is saturated: requests to it need a permit.
+    /// A pool refuses requests for lack of free slots, so that further ones need a permit.
     Saturated {
         /// Name of the pool.
         pool: Arc<str>,
@@ -151,21 +151,21 @@
     Load {
         /// Name of the upstream.
         upstream: Arc<str>,
-        /// Requests that run or wait there.
+        /// Requests that run or are queued there.
         requests: u64,
-        /// Requests among these whose answers have not begun.
+        /// Queued requests among these: those whose answers have not begun.
         waiting: u64,
     },
-    /// An upstream reported its current speed in an answer.
+    /// An upstream reported in an answer how long work takes it; more is slower.
     Pace {
         /// Name of the upstream.
         upstream: Arc<str>,
         /// Current duration of work, as a percentage of the nominal duration.
         percent: u32,
     },
-    /// Upstream speeds reported by another router.
+    /// Durations of work at upstreams, reported by another router.
     Paces(Vec<wire::Pace>),
-    /// Prompt prefixes cached or being read at an upstream, reported by another router.
+    /// Prompt prefixes cached or being prefilled at an upstream, reported by another router.
     WarmPrefixes(WarmPrefixes),
     /// Another router's own load.
     Loads(Loads),
@@ -173,7 +173,7 @@
     Observations(Observations),
     /// How another router's requests ended.
     Outcomes(Vec<Outcome>),
-    /// How long another router's requests waited.
+    /// Waits of another router's requests until their answers began.
     Delays(Vec<Delay>),
     /// Demand on a saturated pool, reported by another router.
     Demands(Demands),
@@ -186,8 +186,8 @@
         /// Result of the check.
         check: Liveness,
     },
-    /// The delay requested with [`Effect::Wait`](crate::Effect::Wait) is over.
-    WaitElapsed {
+    /// A request postponed with [`Effect::Postpone`](crate::Effect::Postpone) is due.
+    Due {
         /// Internal id of the request.
         id: u64,
     },
@@ -245,7 +245,8 @@
         self.prefixes.iter().map(|prefix| prefix.hash).collect()
     }
 
-    /// Whether the request is a turn of a chat, whose context may be cached at an upstream.
+    /// Whether the request counts as a turn of a chat, whose context may be cached at an upstream:
+    /// it has a model and no idempotency key.
     pub fn is_chat(&self) -> bool {
         self.model.is_some() && self.idempotency_key.is_none()
     }
@@ -256,11 +257,11 @@
 pub struct IdempotencyKey {
     /// The key, unique within the workspace.
     pub key: Arc<str>,
-    /// The owner encoded in the key, if any.
+    /// The key owner encoded in the key, if any.
     pub owner: Option<Owner>,
 }
 
-/// The upstream that handles all calls of an idempotency key.
+/// The key owner: the upstream that handles all calls of an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Owner {
     /// Name of the upstream.
@@ -323,7 +324,7 @@
     }
 }
 
-/// An entry of the platform's list of hosts.
+/// An upstream listed by the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
     /// Name of the upstream, different for each start, so that state and reports about one start
--- a/components/routing/src/mechanisms.rs
+++ b/components/routing/src/mechanisms.rs
@@ -14,7 +14,7 @@
     pub copies: bool,
     /// Do not copy short prefixes from an upstream that has failed.
     pub doubts: bool,
-    /// Delay a request while its prefix is being read by an earlier one.
+    /// Postpone a request while an earlier one prefills the same prefix.
     pub waits: bool,
     /// Exchange cached prefixes between routers.
     pub hints: bool,
@@ -38,11 +38,11 @@
     pub late_takes: bool,
     /// Read the platform's store through other routers.
     pub shared_looks: bool,
-    /// Use the speeds reported by upstreams.
+    /// Use the durations of work reported by upstreams.
     pub pace: bool,
     /// Allocate the capacity of upstreams among routers while much of a pool is closed.
     pub dealt_room: bool,
-    /// In a saturated pool, ask the pool's owner for a permit before sending.
+    /// In a saturated pool, ask the pool owner for a permit before sending.
     pub places: bool,
 }
 
--- a/components/routing/src/requests/arrival.rs
+++ b/components/routing/src/requests/arrival.rs
@@ -87,7 +87,7 @@
             longest_gap: Millis::ZERO,
             estimate: self.estimate(intent, now),
             objective_ms: intent.objective_ms,
-            wait_until: prefill_deadline(intent.objective_ms, now),
+            postpone_until: prefill_deadline(intent.objective_ms, now),
             phase: Phase::Sent,
             repeatable: target.repeatable,
             resumable: target.kind.resumable,
--- a/components/routing/src/requests/completion.rs
+++ b/components/routing/src/requests/completion.rs
@@ -48,13 +48,14 @@
         vec![Effect::Fail(answer), Effect::Record(Arc::new(decision))]
     }
 
-    /// Handles a caller that closed its connection.
+    /// Handles a caller that closed its connection. A request that was sent may have run, so it
+    /// ends like one whose deadline passed.
     pub(crate) fn cancel(&mut self, id: u64, now: Millis) -> Vec<Effect> {
         let Some(request) = self.requests.get(&id) else {
             return Vec::new();
         };
         let kind = match request.phase {
-            Phase::Binding | Phase::Waiting | Phase::Claiming => Kind::Cancelled,
+            Phase::Binding | Phase::Postponed | Phase::Claiming => Kind::Cancelled,
             Phase::Sent | Phase::Admitted => Kind::Expired,
             Phase::Answering { .. } => Kind::ExpiredRunning,
         };
@@ -69,7 +70,7 @@
             return Vec::new();
         };
         let kind = match request.phase {
-            Phase::Binding | Phase::Waiting | Phase::Claiming => Kind::ExpiredWaiting,
+            Phase::Binding | Phase::Postponed | Phase::Claiming => Kind::ExpiredWaiting,
             Phase::Sent | Phase::Admitted => Kind::Expired,
             Phase::Answering { .. } => Kind::ExpiredRunning,
         };
@@ -79,7 +80,7 @@
     }
 
     /// Cancels the current attempt and ends the request with an error.
-    pub(crate) fn abort(&mut self, id: u64, kind: Kind, now: Millis) -> Vec<Effect> {
+    pub(crate) fn cancel_and_fail(&mut self, id: u64, kind: Kind, now: Millis) -> Vec<Effect> {
         let mut effects = vec![Effect::Cancel];
         effects.extend(self.fail(id, kind, 0, "", now));
         effects
@@ -165,8 +166,8 @@
         effects
     }
 
-    /// Releases the load of the current attempt at its upstream. Sidecars report their load
-    /// themselves.
+    /// Removes the current attempt from the load of its upstream. Does nothing with sidecars, which
+    /// report their load themselves.
     pub(crate) fn release_load(&mut self, id: u64) {
         if self.settings.path.has_sidecars() {
             return;
@@ -174,11 +175,11 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(last) = request.tries.last_mut().filter(|last| !last.is_released) else { return };
         last.is_released = true;
-        let was_waiting = std::mem::replace(&mut last.is_waiting, false);
+        let was_queued = std::mem::replace(&mut last.is_queued, false);
         let weight = request.arrival.weight;
         if let Some(upstream) = self.upstreams.get_mut(&last.upstream) {
             upstream.remove_request(weight);
-            if was_waiting {
+            if was_queued {
                 upstream.remove_waiting(weight);
             }
         }
--- a/components/routing/src/requests/decision.rs
+++ b/components/routing/src/requests/decision.rs
@@ -18,7 +18,7 @@
     pub workspace: Arc<str>,
     /// Kind of the request.
     pub kind: Arc<str>,
-    /// Hash of the requested work.
+    /// Fingerprint of the requested work.
     pub content: u64,
     /// Requested model, if any.
     pub model: Option<Arc<str>>,
@@ -28,7 +28,7 @@
     pub generation: u64,
     /// Age of the configuration's confirmation, in milliseconds; none if it was never confirmed.
     pub proof_ms: Option<u64>,
-    /// When the request arrived.
+    /// Arrival time.
     pub came: Millis,
     /// When the status and headers were sent to the caller.
     pub answered: Option<Millis>,
@@ -38,7 +38,7 @@
     pub ended: Millis,
     /// The longest shared prefix, if any.
     pub shared: Option<Prefix>,
-    /// The best of the excluded upstreams.
+    /// Exclusions of the best excluded upstreams.
     pub passed: Vec<Exclusion>,
     /// The attempts, in order.
     pub tries: Vec<Try>,
@@ -83,15 +83,15 @@
     pub wait_ms: f64,
     /// Tokens of the shared prefix to copy from another upstream.
     pub copied: u64,
-    /// Tokens of the shared prefix to read.
+    /// Tokens of the shared prefix to prefill.
     pub read: u64,
-    /// Address to copy the prefix from.
+    /// Address of the upstream to copy the prefix from.
     pub warm: Option<Arc<str>>,
     /// The error of the attempt, if any.
     pub error: Option<Kind>,
     /// Whether the answer has not begun.
     #[serde(skip)]
-    pub(crate) is_waiting: bool,
+    pub(crate) is_queued: bool,
     /// Whether the attempt exceeded the silence timeout.
     #[serde(skip)]
     pub(crate) is_silent: bool,
--- a/components/routing/src/requests/dispatch.rs
+++ b/components/routing/src/requests/dispatch.rs
@@ -14,7 +14,7 @@
 use crate::state::State;
 use crate::{Attempt, Effect, Try};
 
-/// Spreads the retries of callers after a backoff of all upstreams.
+/// Upper bound of the random addition to a retry delay after a backoff.
 const RETRY_SPREAD: Millis = Millis(500);
 
 impl State {
@@ -37,8 +37,8 @@
         if let Some(claim) = self.claim(id, &upstream, now) {
             return vec![claim];
         }
-        if self.should_wait_for_prefill(id, &upstream, now) {
-            return self.delay(id);
+        if self.should_postpone(id, &upstream, now) {
+            return self.postpone(id);
         }
         if let Some(after) = self.reject_late(id, &upstream, now) {
             return self.fail(id, Kind::WouldMiss, after, "", now);
@@ -46,8 +46,9 @@
         self.send(id, &upstream, 0, now)
     }
 
-    /// Retry time for a request without an available upstream, in milliseconds: when a cold
-    /// upstream has quota again, after the shortest backoff, or a fixed time for evacuated domains.
+    /// Retry delay for a request without an open upstream, in milliseconds, by the reason `why` of
+    /// the first exclusion: until a cold upstream has quota, until a backoff ends, or a fixed time
+    /// for evacuated domains.
     fn retry_delay_ms(&mut self, id: u64, why: &str, now: Millis) -> u64 {
         let pool = self.requests.get(&id).map(|request| request.pool.clone()).unwrap_or_default();
         match why {
@@ -64,8 +65,8 @@
         }
     }
 
-    /// Takes the next candidate by rank, or the least loaded one after a refusal over load, when
-    /// the chat's context is elsewhere anyway.
+    /// Takes the next candidate by rank. After a refusal for load, takes the least loaded one
+    /// instead, unless the next one is known to have the chat's context.
     fn next_candidate(&mut self, id: u64, now: Millis) -> Option<Arc<str>> {
         // Candidates may have been closed since they were ranked.
         let mut candidates = std::mem::take(&mut self.requests.get_mut(&id)?.candidates);
@@ -73,10 +74,10 @@
         let request = self.requests.get_mut(&id)?;
         request.candidates = candidates;
         let error = request.tries.last().and_then(|attempt| attempt.error);
-        let refused_over_load =
+        let refused_for_load =
             matches!(error, Some(Kind::OverBound | Kind::QueueFull | Kind::WouldMiss));
         let hinted = request.candidates.last().is_some_and(|name| request.hints.contains(name));
-        if !refused_over_load || hinted {
+        if !refused_for_load || hinted {
             return request.candidates.pop();
         }
         let load = |name: &Arc<str>| {
@@ -147,7 +148,7 @@
             read: prefill.read,
             warm: prefill.source,
             error: None,
-            is_waiting: true,
+            is_queued: true,
             is_silent: false,
             recorded_outcome: None,
             is_released: false,
@@ -158,7 +159,8 @@
         Some(())
     }
 
-    /// The attempt's timeout for receiving nothing.
+    /// Time within which a sidecar must admit or refuse the request; without sidecars, the silence
+    /// timeout.
     fn attempt_timeout(&self, request: &Request, now: Millis) -> Millis {
         if self.settings.path.monitors_upstreams() {
             return request.silence_timeout();
--- a/components/routing/src/requests/permits.rs
+++ b/components/routing/src/requests/permits.rs
@@ -1,4 +1,8 @@
-//! Requests to a saturated pool need a permit of the pool's owner before they are sent.
+//! Requests to a saturated pool need a permit of the pool owner before they are sent.
+//!
+//! Here, a pool is saturated while its upstreams refuse requests for lack of free slots, as a
+//! refusal or the pool owner reports. This is independent of the saturation that enforces shares,
+//! which follows from waits.
 //!
 //! This applies to pools whose upstreams have known slots and report no load, and to requests
 //! outside chats.
@@ -15,13 +19,14 @@
 use crate::requests::request::{Permit, Phase};
 use crate::state::State;
 
-/// How long a pool counts as saturated after a refusal, until its owner reports it.
+/// How long a pool counts as saturated after a refusal, until the pool owner reports it.
 const SATURATION_TTL: Millis = Millis(1_500);
 
 /// Number of unusable permits after which a request fails.
 const MAX_CLAIMS: usize = 4;
 
-/// Claim numbers start at the router's seed shifted by these bits, so that none is used twice.
+/// Width of the counter in claim numbers; the bits above hold the seed of this start of the router,
+/// so that a restart does not reuse numbers.
 const CLAIM_NUMBER_BITS: u32 = 20;
 
 /// Saturated pools and the next claim number.
@@ -57,7 +62,7 @@
 }
 
 impl State {
-    /// Marks the pool of a request as saturated after a refusal; returns whether the pool uses
+    /// Marks the pool of a request as saturated after a refusal; returns whether the request needs
     /// permits.
     pub(crate) fn report_saturation(&mut self, id: u64, now: Millis) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
@@ -73,8 +78,8 @@
         true
     }
 
-    /// Whether the pool issues permits while it is saturated: its upstreams have known slots and
-    /// report no load.
+    /// Whether requests to the pool need permits while it is saturated: its upstreams have known
+    /// slots and report no load.
     fn uses_permits(&self, pool: &str) -> bool {
         let mut members = self.pool_upstreams(pool).peekable();
         self.settings.mechanisms.places
@@ -164,7 +169,8 @@
         self.send(id, upstream, 0, now)
     }
 
-    /// Refuses the request, unless an earlier attempt may have run: the caller could not repeat it.
+    /// Refuses the request. One that may have run continues without a permit, because its caller
+    /// could not repeat it.
     pub(crate) fn handle_denied(
         &mut self,
         id: u64,
@@ -184,7 +190,7 @@
         self.fail(id, Kind::WouldMiss, after_ms, "", now)
     }
 
-    /// Sends the request without a permit.
+    /// Continues without a permit.
     pub(crate) fn handle_unanswered(&mut self, id: u64, number: u64, now: Millis) -> Vec<Effect> {
         if !self.has_open_claim(id, number) {
             return Vec::new();
@@ -193,12 +199,12 @@
             return self.fail(id, Kind::ExpiredWaiting, 0, "", now);
         }
         if let Some(request) = self.requests.get_mut(&id) {
-            request.permit = Permit::Local;
+            request.permit = Permit::Waived;
         }
         self.send_next(id, now)
     }
 
-    /// Returns the permit of a finished attempt, or withdraws the claim.
+    /// Releases the permit of a finished attempt, or withdraws the claim.
     pub(crate) fn release_permit(&mut self, id: u64, error: Option<Kind>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let permit = std::mem::take(&mut request.permit);
@@ -235,7 +241,7 @@
             && self.is_allowed(id, upstream)
     }
 
-    /// Returns an unusable permit and claims another.
+    /// Releases an unusable permit and continues, which claims another while the pool is saturated.
     fn claim_again(&mut self, id: u64, upstream: &Arc<str>, now: Millis) -> Vec<Effect> {
         self.release_permit(id, None);
         let Some(request) = self.requests.get_mut(&id) else { return Vec::new() };
--- a/components/routing/src/requests/reply.rs
+++ b/components/routing/src/requests/reply.rs
@@ -35,7 +35,7 @@
             Reply::Chunk(chunk) => self.handle_chunk(id, chunk, now),
             Reply::End(end) => self.handle_end(id, end, now),
             Reply::Broken(broken) => self.handle_broken(id, broken, now),
-            Reply::Unexpected => self.abort(id, Kind::Crossed, now),
+            Reply::Unexpected => self.cancel_and_fail(id, Kind::Crossed, now),
         }
     }
 
@@ -94,7 +94,7 @@
         Some(Effect::UpdateDirectory {
             upstream: home.clone(),
             address: upstream.host.address.clone(),
-            note: DirectoryUpdate { chat, upstream: served.clone() },
+            update: DirectoryUpdate { chat, upstream: served.clone() },
         })
     }
 
@@ -113,7 +113,7 @@
             return Vec::new();
         };
         if head.attempt != request.attempt_number() {
-            return self.abort(id, Kind::Crossed, now);
+            return self.cancel_and_fail(id, Kind::Crossed, now);
         }
         if request.is_answering() {
             return self.resume_answer(id, head.status, now);
@@ -148,7 +148,7 @@
     fn resume_answer(&mut self, id: u64, status: u16, now: Millis) -> Vec<Effect> {
         let can_resume = |request: &Request| request.resumable && request.attempt_number() > 1;
         if !self.requests.get(&id).is_some_and(can_resume) {
-            return self.abort(id, Kind::Crossed, now);
+            return self.cancel_and_fail(id, Kind::Crossed, now);
         }
         if status < MIN_UNSUCCESSFUL_STATUS {
             self.record_answer_start(id, now);
@@ -180,16 +180,16 @@
         request.record_chunk(now);
         let attempt = request.attempt_number();
         let Phase::Answering { chunks, bytes } = &mut request.phase else {
-            return self.abort(id, Kind::Crossed, now);
+            return self.cancel_and_fail(id, Kind::Crossed, now);
         };
         if chunk.attempt != attempt {
-            return self.abort(id, Kind::Crossed, now);
+            return self.cancel_and_fail(id, Kind::Crossed, now);
         }
         if chunk.sequence < *chunks {
             return Vec::new();
         }
         if chunk.sequence > *chunks {
-            return self.abort(id, Kind::Truncated, now);
+            return self.cancel_and_fail(id, Kind::Truncated, now);
         }
         *chunks += 1;
         *bytes += chunk.bytes.len() as u64;
@@ -202,11 +202,11 @@
             return Vec::new();
         };
         if end.attempt != request.attempt_number() {
-            return self.abort(id, Kind::Crossed, now);
+            return self.cancel_and_fail(id, Kind::Crossed, now);
         }
         let complete = Phase::Answering { chunks: end.chunks, bytes: end.bytes };
         if request.phase != complete {
-            return self.abort(id, Kind::Truncated, now);
+            return self.cancel_and_fail(id, Kind::Truncated, now);
         }
         let mut effects: Vec<_> = self.directory_update(id).into_iter().collect();
         effects.push(Effect::Finish);
@@ -219,7 +219,7 @@
             return Vec::new();
         };
         if broken.attempt != request.attempt_number() {
-            return self.abort(id, Kind::Crossed, now);
+            return self.cancel_and_fail(id, Kind::Crossed, now);
         }
         if request.is_answering() && !request.resumable {
             let kind = if broken.kind.row().outcome == Outcome::Ran {
--- a/components/routing/src/requests/request.rs
+++ b/components/routing/src/requests/request.rs
@@ -14,8 +14,8 @@
 pub(crate) enum Phase {
     /// The owner of the idempotency key is being resolved.
     Binding,
-    /// Not sent: waits for another request to finish reading the same prefix.
-    Waiting,
+    /// Not sent: postponed while another request prefills the same prefix.
+    Postponed,
     /// Not sent: the pool is saturated, and a permit was claimed.
     Claiming,
     /// Sent; nothing received yet.
@@ -36,8 +36,8 @@
     Claimed(u64),
     /// Held; the number is the claim's.
     Held(u64),
-    /// Sent without a permit, within this router's local quota.
-    Local,
+    /// Not needed: the request continues without a permit.
+    Waived,
 }
 
 /// A request between its arrival and its final answer.
@@ -59,8 +59,8 @@
     pub deadline: Millis,
     /// Target time until the answer, or its first event, in milliseconds.
     pub objective_ms: Option<u64>,
-    /// Until when it may wait for another request's prefill.
-    pub wait_until: Millis,
+    /// Until when it may be postponed for another request's prefill.
+    pub postpone_until: Millis,
     pub phase: Phase,
     pub repeatable: bool,
     /// Whether a broken answer may be continued at another upstream.
@@ -85,7 +85,7 @@
     /// Standing of the workspace when the request was refused.
     pub standing: Option<Standing>,
     pub permit: Permit,
-    /// Upstreams of returned permits.
+    /// Upstreams whose permits could not be used.
     pub unusable: Vec<Arc<str>>,
 }
 
--- a/components/routing/src/selection/candidates.rs
+++ b/components/routing/src/selection/candidates.rs
@@ -25,7 +25,8 @@
 /// Upstreams by name; the index refers to their positions.
 pub(crate) type Upstreams = IndexMap<Arc<str>, Upstream>;
 
-/// Intent name, requested model, branch of a split intent, and the workspace if it has homes.
+/// Intent name, requested model, branch of a split intent, and the workspace if it is restricted to
+/// certain upstreams.
 type IndexKey = (Arc<str>, Option<Arc<str>>, Option<usize>, Option<Arc<str>>);
 
 /// Cache of the upstreams that match an intent and model; cleared when upstreams, settings or the
@@ -44,7 +45,7 @@
     pub exclusions: Vec<Exclusion>,
     /// The first upstream in rank that is up, whatever its load; keeps the chat's directory entry.
     pub home: Option<Arc<str>>,
-    /// The same, also without a directory.
+    /// The same upstream as `home`; the ranking keeps `home` only if the policy uses a directory.
     pub first_ranked: Option<Arc<str>>,
 }
 
@@ -91,7 +92,8 @@
             estimate,
         );
         if let Some(home) = home.filter(|_| settings.policy == Policy::Directory) {
-            // The home comes first even if it seems full, because it has the chat's directory entry.
+            // The home comes first even if it seems full, because it has the chat's directory
+            // entry.
             best.retain(|upstream| upstream.name() != home.name());
             best.insert(0, home);
         }
@@ -192,8 +194,9 @@
         top(key, up, 1, |upstream| (upstream.name(), 1.0)).pop()
     }
 
-    /// The upstreams to try. If all seem full, one sidecar is still asked, since loads are known
-    /// with a delay.
+    /// The upstreams to try. If none is open, falls back in order to one whose allocation is used
+    /// up, the unhealthy ones, the least loaded one over its bound and, without sidecars, the
+    /// suspect ones: loads and health are known with a delay.
     fn candidates(self, request: &str, estimate: &Estimate) -> Vec<&'a Upstream> {
         if !self.open.is_empty() {
             return self.open;
--- a/components/routing/src/selection/prefill.rs
+++ b/components/routing/src/selection/prefill.rs
@@ -1,4 +1,4 @@
-//! The prefix of a prompt that an upstream must read or copy before it answers.
+//! The part of a prompt that an upstream must prefill or copy before it answers.
 
 use std::sync::Arc;
 
@@ -20,7 +20,7 @@
     pub source: Option<Arc<str>>,
     /// Tokens to copy from there.
     pub copied: u64,
-    /// Tokens of the shared prefix to read.
+    /// Tokens of the shared prefix to prefill.
     pub read: u64,
 }
 
--- a/components/routing/src/selection/prefixes.rs
+++ b/components/routing/src/selection/prefixes.rs
@@ -1,5 +1,5 @@
-//! Exchange of cached prompt prefixes between routers, and delays of requests whose prefix is being
-//! read.
+//! Exchange of cached prompt prefixes between routers, and postponement of requests whose prefix is
+//! being prefilled.
 
 use std::sync::Arc;
 
@@ -10,19 +10,19 @@
 use crate::state::State;
 use crate::{Effect, Prefix};
 
-/// A request waits for another's prefill for at most its objective divided by this.
-const MAX_WAIT_DIVISOR: u64 = 4;
+/// A request is postponed for another's prefill for at most its objective divided by this.
+const MAX_POSTPONE_DIVISOR: u64 = 4;
 
-/// How often a delayed request is checked again.
+/// Time after which a postponed request is due.
 const RECHECK_INTERVAL: Millis = Millis(20);
 
 /// Maximum number of prefixes in a message, so that it fits one datagram.
 const MAX_PUBLISHED_PREFIXES: usize = 100;
 
-/// Until when a request that arrived at `now` may wait for another's prefill; without an objective
-/// it does not wait.
+/// Until when a request that arrived at `now` may be postponed for another's prefill; without an
+/// objective it is not.
 pub(crate) fn prefill_deadline(objective_ms: Option<u64>, now: Millis) -> Millis {
-    now + Millis(objective_ms.unwrap_or_default() / MAX_WAIT_DIVISOR)
+    now + Millis(objective_ms.unwrap_or_default() / MAX_POSTPONE_DIVISOR)
 }
 
 /// Maximum number of prefixes saved for routers that start, counted once for each upstream.
@@ -63,9 +63,9 @@
         (self.prefix_index.changes(), cached.into_iter().map(warm).collect())
     }
 
-    /// Whether an unsent request should wait because `upstream` is already reading its longest
-    /// prefix.
-    pub(crate) fn should_wait_for_prefill(&self, id: u64, upstream: &str, now: Millis) -> bool {
+    /// Whether an unsent request should be postponed because `upstream` is already prefilling its
+    /// longest prefix.
+    pub(crate) fn should_postpone(&self, id: u64, upstream: &str, now: Millis) -> bool {
         let Some(request) = self.requests.get(&id) else {
             return false;
         };
@@ -73,29 +73,29 @@
             |prefix: &Prefix| self.prefix_index.is_prefilling(prefix.hash, upstream, now);
         self.settings.mechanisms.waits
             && request.tries.is_empty()
-            && now < request.wait_until
+            && now < request.postpone_until
             && request.arrival.prefixes.last().is_some_and(is_prefilling)
     }
 
-    /// Delays a request.
-    pub(crate) fn delay(&mut self, id: u64) -> Vec<Effect> {
+    /// Postpones a request.
+    pub(crate) fn postpone(&mut self, id: u64) -> Vec<Effect> {
         if let Some(request) = self.requests.get_mut(&id) {
-            request.phase = Phase::Waiting;
+            request.phase = Phase::Postponed;
         }
-        vec![Effect::Wait(RECHECK_INTERVAL)]
+        vec![Effect::Postpone(RECHECK_INTERVAL)]
     }
 
-    /// Ranks the upstreams again after a delay, and sends the request.
-    pub(crate) fn handle_wait_elapsed(&mut self, id: u64, now: Millis) -> Vec<Effect> {
-        let is_waiting = |request: &Request| request.phase == Phase::Waiting;
-        if !self.requests.get(&id).is_some_and(is_waiting) {
+    /// Ranks the upstreams again for a postponed request, and sends it.
+    pub(crate) fn handle_due(&mut self, id: u64, now: Millis) -> Vec<Effect> {
+        let is_postponed = |request: &Request| request.phase == Phase::Postponed;
+        if !self.requests.get(&id).is_some_and(is_postponed) {
             return Vec::new();
         }
         self.rank(id, now);
         self.send_next(id, now)
     }
 
-    /// Records that `upstream` starts to read the request's prefixes, and publishes this, unless
+    /// Records that `upstream` starts to prefill the request's prefixes, and publishes this, unless
     /// the longest one can be copied.
     pub(crate) fn begin_prefill(
         &mut self,
--- a/components/routing/src/selection/ranking.rs
+++ b/components/routing/src/selection/ranking.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Moves candidates that have the longest prefix cached to the front; the best one is last.
+    /// Moves candidates that have the longest prefix cached to the end, where the best ones are.
     fn prefer_warm(&self, candidates: &mut [Arc<str>], arrival: &Arrival) {
         if !self.settings.path.tracks_prefixes() || !self.settings.mechanisms.warm_first {
             return;
--- a/components/routing/src/settings.rs
+++ b/components/routing/src/settings.rs
@@ -51,8 +51,8 @@
     pub cold_extra: f64,
     /// Weights of workspaces in saturated pools; 1 if not listed.
     pub weights: BTreeMap<Arc<str>, f64>,
-    /// Multiple of its excess that a workspace over its share gives back while others are starving;
-    /// at zero, only its requests with long waits are refused first.
+    /// Multiple of its excess by which a workspace over its share is reduced while others within
+    /// their shares are refused; at zero, only its requests with long waits are refused first.
     pub gives_back: f64,
     /// Region of each failure domain, for intents that name regions.
     pub regions: BTreeMap<Arc<str>, Arc<str>>,
--- a/components/routing/src/state.rs
+++ b/components/routing/src/state.rs
@@ -224,7 +224,7 @@
                 Vec::new()
             }
             Event::Checked { upstream, check } => self.record_liveness(&upstream, check, now),
-            Event::WaitElapsed { id } => self.handle_wait_elapsed(id, now),
+            Event::Due { id } => self.handle_due(id, now),
             Event::Granted { id, number, upstream } => {
                 self.handle_granted(id, number, &upstream, now)
             }
--- a/components/routing/tests/direct/admission.rs
+++ b/components/routing/tests/direct/admission.rs
@@ -17,8 +17,8 @@
 
 const ENGINES: [&str; 4] = ["engine-0", "engine-1", "engine-2", "engine-3"];
 
-/// A router that observed 100 ms of wait per queued request.
-fn router_with_waits() -> State {
+/// A router to which another one reported 100 ms of wait per queued request.
+fn router_with_reported_waits() -> State {
     let mut state = router(settings());
     for priority in [URGENT, LESS_URGENT] {
         let delay = Delay { pool: "engine".into(), priority, waited_ms: 100_000, queued: 1_000 };
@@ -27,7 +27,7 @@
     state
 }
 
-/// Another router reports that `waiting` of its requests wait at each of `upstreams`.
+/// Another router reports that `waiting` of its requests are queued at each of `upstreams`.
 fn report_waiting(state: &mut State, upstreams: &[&str], waiting: u64) {
     let load = |name: &&str| Load { upstream: (*name).into(), requests: waiting, waiting };
     let upstreams = upstreams.iter().map(load).collect();
@@ -37,7 +37,7 @@
 
 #[test]
 fn refuses_a_request_that_would_be_late_at_every_upstream() {
-    let mut state = router_with_waits();
+    let mut state = router_with_reported_waits();
     report_waiting(&mut state, &ENGINES, 9);
     let effects = state.apply(arrival(1, "stream", "chat"), NOW);
     assert_eq!(failure(&effects), Some(Kind::WouldMiss));
@@ -48,7 +48,7 @@
 
 #[test]
 fn sends_to_the_only_upstream_that_can_answer_in_time() {
-    let mut state = router_with_waits();
+    let mut state = router_with_reported_waits();
     report_waiting(&mut state, &ENGINES[1..], 9);
     for id in 1..=3 {
         let effects = state.apply(arrival(id, "stream", &format!("chat-{id}")), NOW);
@@ -58,9 +58,9 @@
 
 #[test]
 fn keeps_a_chat_at_its_first_upstream_if_it_answers_in_time() {
-    let first = sent_to(&router_with_waits().apply(arrival(1, "stream", "chat"), NOW))
+    let first = sent_to(&router_with_reported_waits().apply(arrival(1, "stream", "chat"), NOW))
         .expect("an upstream");
-    let mut state = router_with_waits();
+    let mut state = router_with_reported_waits();
     report_waiting(&mut state, &[&first], 3);
     assert_eq!(sent_to(&state.apply(arrival(1, "stream", "chat"), NOW)), Some(first));
 }
@@ -81,14 +81,14 @@
 
 #[test]
 fn spreads_the_retry_times_of_refused_callers() {
-    let mut state = router_with_waits();
+    let mut state = router_with_reported_waits();
     report_waiting(&mut state, &ENGINES, 9);
     let mut after =
         |id| retry_after(&state.apply(arrival(id, "stream", "chat"), NOW)).expect("a retry time");
     let times = [after(1), after(2), after(3)];
     // Before the first completion, callers wait until the queue is short enough: 500 ms.
     assert_eq!(times, [500, 500, 500]);
-    let mut state = router_with_waits();
+    let mut state = router_with_reported_waits();
     for id in 1..=40 {
         state.apply(arrival(id, "stream", &format!("chat-{id}")), NOW);
         let head = Head { attempt: 1, status: 200, headers: Vec::new() };
@@ -107,7 +107,7 @@
 
 #[test]
 fn refuses_less_urgent_requests_first() {
-    let mut state = router_with_waits();
+    let mut state = router_with_reported_waits();
     state.apply(arrival(1, "stream", "chat"), NOW);
     state.apply(arrival(2, "bulk", "chat"), NOW);
     let refused =
@@ -122,7 +122,7 @@
 
 #[test]
 fn does_not_refuse_a_request_that_may_have_run() {
-    let mut state = router_with_waits();
+    let mut state = router_with_reported_waits();
     assert!(sent_to(&state.apply(arrival(1, "stream", "chat"), NOW)).is_some());
     report_waiting(&mut state, &ENGINES, 9);
     let effects = state.apply(Event::ConnectionFailed { id: 1, attempt: 1, sent: true }, NOW);
@@ -130,8 +130,8 @@
 }
 
 #[test]
-fn refuses_the_retry_of_a_request_that_was_not_sent() {
-    let mut state = router_with_waits();
+fn refuses_a_further_attempt_of_a_request_that_was_not_sent() {
+    let mut state = router_with_reported_waits();
     assert!(sent_to(&state.apply(arrival(1, "stream", "chat"), NOW)).is_some());
     report_waiting(&mut state, &ENGINES, 9);
     let effects = state.apply(Event::ConnectionFailed { id: 1, attempt: 1, sent: false }, NOW);
@@ -171,7 +171,7 @@
 #[test]
 fn admits_late_requests_if_admission_is_disabled() {
     let mechanisms = Mechanisms { admission: false, ..Mechanisms::default() };
-    let mut state = router_with_waits();
+    let mut state = router_with_reported_waits();
     state.apply(Event::Settings(Box::new(Settings { mechanisms, ..settings() })), NOW);
     report_waiting(&mut state, &ENGINES, 9);
     assert!(sent_to(&state.apply(arrival(1, "stream", "chat"), NOW)).is_some());
--- a/components/routing/tests/direct/decisions.rs
+++ b/components/routing/tests/direct/decisions.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn estimates_other_routers_load_from_its_own() {
+fn expects_more_load_from_other_routers_in_a_larger_fleet() {
     let sent_to_first = |routers: usize| {
         let mut state = router(settings());
         state.apply(Event::RouterCount(routers), NOW);
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn failed_connections_do_not_count_as_attempts() {
+fn failed_connections_do_not_count_towards_the_attempt_limit() {
     // The intent allows two upstreams, and the retry budget is empty.
     let mut state = router(Settings { retry_burst: 0.0, ..settings() });
     let fail_attempt = |state: &mut State, attempt| {
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn sends_nothing_to_an_upstream_whose_address_was_reassigned() {
+fn sends_nothing_to_an_upstream_that_refused_as_leaving() {
     let mut state = router(settings());
     let leaving = || {
         let (hints, status) = (Vec::new(), Status::default());
@@ -211,11 +211,11 @@
     for kind in ["safe", "stream"] {
         let mut state = router(Settings { retry_burst: 9.0, ..settings() });
         let first = sent_to(&state.apply(arrival(1, kind, "chat"), NOW)).expect("an upstream");
-        let last: Arc<str> = if kind == "safe" { "plain-1" } else { "engine-3" }.into();
-        let last = if first == last { first.clone() } else { last };
+        let remaining: Arc<str> = if kind == "safe" { "plain-1" } else { "engine-3" }.into();
+        let remaining = if first == remaining { first.clone() } else { remaining };
         state.apply(
             hosts_with(|host| {
-                host.leaving = host.name != last;
+                host.leaving = host.name != remaining;
                 true
             }),
             NOW,
@@ -223,10 +223,10 @@
         let effects = state.apply(Event::ConnectionFailed { id: 1, attempt: 1, sent: true }, NOW);
         let next = sent_to(&effects);
         assert!(
-            next.is_none() || next == Some(last.clone()),
+            next.is_none() || next == Some(remaining.clone()),
             "retried at {next:?}, which is leaving"
         );
-        assert_eq!(next.is_none(), last == first);
+        assert_eq!(next.is_none(), remaining == first);
     }
 }
 
@@ -268,8 +268,8 @@
 }
 
 #[test]
-fn sends_at_once_when_prefill_waits_are_disabled() {
-    assert!(matches!(repeat_prefix(Mechanisms::default())[..], [Effect::Wait(_)]));
-    let without_waits = Mechanisms { waits: false, ..Mechanisms::default() };
-    assert!(sent_to(&repeat_prefix(without_waits)).is_some());
+fn sends_at_once_if_postponing_is_disabled() {
+    assert!(matches!(repeat_prefix(Mechanisms::default())[..], [Effect::Postpone(_)]));
+    let without_postponing = Mechanisms { waits: false, ..Mechanisms::default() };
+    assert!(sent_to(&repeat_prefix(without_postponing)).is_some());
 }
--- a/components/routing/tests/direct/evacuation.rs
+++ b/components/routing/tests/direct/evacuation.rs
@@ -76,10 +76,10 @@
     let prefilling = sent_to(&state.apply(arrival_with_prefixes(1, "stream", "chat", &[7]), NOW))
         .expect("an upstream");
     let waits = state.apply(arrival_with_prefixes(2, "stream", "chat", &[7]), NOW);
-    assert!(matches!(waits[0], Effect::Wait(_)));
+    assert!(matches!(waits[0], Effect::Postpone(_)));
     let domain = if prefilling.ends_with('0') || prefilling.ends_with('1') { "a" } else { "b" };
     state.apply(evacuated(&[domain]), NOW);
-    let next = sent_to(&state.apply(Event::WaitElapsed { id: 2 }, NOW)).expect("an upstream");
+    let next = sent_to(&state.apply(Event::Due { id: 2 }, NOW)).expect("an upstream");
     let evacuated_engines =
         if domain == "a" { ["engine-0", "engine-1"] } else { ["engine-2", "engine-3"] };
     assert!(!evacuated_engines.contains(&&*next), "{next} is in {domain}");
--- a/components/routing/tests/direct/shares.rs
+++ b/components/routing/tests/direct/shares.rs
@@ -24,15 +24,15 @@
 const BUSY: u64 = 3;
 const FULL: u64 = 5;
 
-/// A router that observed 100 ms of wait per queued request.
-fn router_with_waits(mechanisms: Mechanisms) -> State {
+/// A router to which another one reported 100 ms of wait per queued request.
+fn router_with_reported_waits(mechanisms: Mechanisms) -> State {
     let mut state = router(Settings { mechanisms, ..settings() });
     let delay = Delay { pool: "engine".into(), priority: 5, waited_ms: 100_000, queued: 1_000 };
     state.apply(Event::Delays(vec![delay]), NOW);
     state
 }
 
-/// Another router reports that `waiting` of its requests wait at each engine.
+/// Another router reports that `waiting` of its requests are queued at each engine.
 fn report_waiting(state: &mut State, waiting: u64) {
     let load = |name: &&str| Load { upstream: (*name).into(), requests: waiting, waiting };
     let upstreams = ENGINES.iter().map(load).collect();
@@ -68,7 +68,7 @@
 
 /// Four workspaces have been served, and one with many times their demand was refused.
 fn router_after_surge(mechanisms: Mechanisms) -> State {
-    let mut state = router_with_waits(mechanisms);
+    let mut state = router_with_reported_waits(mechanisms);
     for (index, workspace) in ["a", "b", "c", "d"].into_iter().enumerate() {
         let first = 1_000 * (1 + index as u64);
         serve(&mut state, first..first + 10, workspace);
@@ -137,7 +137,7 @@
 #[test]
 fn does_not_restrict_the_only_workspace() {
     for mechanisms in [enabled(), Mechanisms { shares: false, ..enabled() }] {
-        let mut state = router_with_waits(mechanisms);
+        let mut state = router_with_reported_waits(mechanisms);
         report_waiting(&mut state, FULL);
         refused(&mut state, 100..180, "hot");
         report_waiting(&mut state, BUSY);
@@ -147,7 +147,7 @@
 
 #[test]
 fn enforces_no_shares_without_saturation() {
-    let mut state = router_with_waits(enabled());
+    let mut state = router_with_reported_waits(enabled());
     serve(&mut state, 100..180, "hot");
     serve(&mut state, 200..205, "a");
     assert_eq!(state.demands(&Arc::from("front-1"), NOW), []);
@@ -171,10 +171,10 @@
 #[test]
 fn uses_demand_reported_by_another_router() {
     let reported = router_after_surge(enabled()).demands(&Arc::from("front-2"), NOW);
-    let mut state = router_with_waits(enabled());
+    let mut state = router_with_reported_waits(enabled());
     report_waiting(&mut state, BUSY);
     assert!(sent_to(&state.apply(asked(1, "hot"), NOW)).is_some());
-    let mut state = router_with_waits(enabled());
+    let mut state = router_with_reported_waits(enabled());
     for demands in reported {
         state.apply(Event::Demands(demands), NOW);
     }
@@ -186,7 +186,7 @@
 /// Another router reports that one workspace was overserved and others were not; `starving` says
 /// whether these still are.
 fn overserved_router(mechanisms: Mechanisms, gives_back: f64, starving: bool) -> State {
-    let mut state = router_with_waits(mechanisms);
+    let mut state = router_with_reported_waits(mechanisms);
     let settings = Settings { mechanisms, gives_back, ..settings() };
     state.apply(Event::Settings(Box::new(settings)), NOW);
     let demand = |workspace: &str, asked, served| {
@@ -285,7 +285,7 @@
         };
         let entries: Vec<_> = reported.into_iter().map(demand).collect();
         let decide = |mechanisms| {
-            let mut state = router_with_waits(mechanisms);
+            let mut state = router_with_reported_waits(mechanisms);
             report_waiting(&mut state, FULL);
             refused(&mut state, 100..100 + hot, "hot");
             let summary = shares::Summary { at: NOW, saturated: true, demands: entries.clone(), ..Default::default() };
--- a/components/routing/tests/direct/warmth.rs
+++ b/components/routing/tests/direct/warmth.rs
@@ -30,7 +30,7 @@
 }
 
 fn waits(effects: &[Effect]) -> bool {
-    matches!(effects, [Effect::Wait(_)])
+    matches!(effects, [Effect::Postpone(_)])
 }
 
 /// The address that the cached prompt is copied from.
@@ -60,9 +60,9 @@
     let mut state = router(settings());
     let upstream = sent_to(&arrive(&mut state, 1, NOW));
     assert!(waits(&arrive(&mut state, 2, NOW)));
-    assert!(waits(&state.apply(Event::WaitElapsed { id: 2 }, NOW + Millis(20))));
+    assert!(waits(&state.apply(Event::Due { id: 2 }, NOW + Millis(20))));
     head(&mut state, 1, NOW + Millis(30));
-    let effects = state.apply(Event::WaitElapsed { id: 2 }, NOW + Millis(40));
+    let effects = state.apply(Event::Due { id: 2 }, NOW + Millis(40));
     assert_eq!(sent_to(&effects), upstream);
 }
 
@@ -86,8 +86,8 @@
     let mut state = router(settings());
     arrive(&mut state, 1, NOW);
     arrive(&mut state, 2, NOW);
-    assert!(waits(&state.apply(Event::WaitElapsed { id: 2 }, NOW + Millis(199))));
-    assert!(sent_to(&state.apply(Event::WaitElapsed { id: 2 }, NOW + Millis(200))).is_some());
+    assert!(waits(&state.apply(Event::Due { id: 2 }, NOW + Millis(199))));
+    assert!(sent_to(&state.apply(Event::Due { id: 2 }, NOW + Millis(200))).is_some());
 }
 
 #[test]
@@ -97,7 +97,7 @@
     arrive(&mut state, 2, NOW);
     state.apply(Event::Cancel { id: 2 }, NOW);
     assert_eq!(state.in_flight(), 1);
-    assert!(state.apply(Event::WaitElapsed { id: 2 }, NOW).is_empty());
+    assert!(state.apply(Event::Due { id: 2 }, NOW).is_empty());
 }
 
 #[test]
--- a/components/routing/tests/direct/words.rs
+++ b/components/routing/tests/direct/words.rs
@@ -91,9 +91,9 @@
         |id| crate::fixture::arrival_with_prefixes(id, "stream", "chat", &[7]);
     assert!(sent_to(&state.apply(arrival_with_prefix(1), NOW)).is_some());
     let waits = state.apply(arrival_with_prefix(2), NOW);
-    assert!(matches!(waits[..], [Effect::Wait(_)]), "{waits:?}");
+    assert!(matches!(waits[..], [Effect::Postpone(_)]), "{waits:?}");
     state.apply(backoff("engine-0", BACKOFF), NOW);
-    let effects = state.apply(Event::WaitElapsed { id: 2 }, NOW + Millis(20));
+    let effects = state.apply(Event::Due { id: 2 }, NOW + Millis(20));
     assert_eq!(failure(&effects), Some(Kind::NoUpstream));
 }
 
--- a/components/routing/tests/stateful.rs
+++ b/components/routing/tests/stateful.rs
@@ -423,7 +423,7 @@
                 Effect::Record(decision) => {
                     self.seen_generations.insert(decision.generation);
                 }
-                Effect::PublishPrefixes(_) | Effect::Wait(_) => {
+                Effect::PublishPrefixes(_) | Effect::Postpone(_) => {
                     panic!("request {id} has no shared prefix")
                 }
                 Effect::UpdateDirectory { .. }
