--- a/components/intents/src/digest.rs
+++ b/components/intents/src/digest.rs
@@ -4,7 +4,7 @@
 
 use sha2::{Digest, Sha256};
 
-/// The length of a digest in hexadecimal.
+/// The length of a digest in hexadecimal digits.
 pub(crate) const LENGTH: usize = 64;
 
 /// SHA-256 of a workspace key, in lower-case hexadecimal.
--- a/components/intents/src/document.rs
+++ b/components/intents/src/document.rs
@@ -1,4 +1,4 @@
-//! The operator's document.
+//! The document in which operators configure routing.
 
 use std::sync::Arc;
 
@@ -8,33 +8,33 @@
 use crate::error::ShapeSnafu;
 use crate::{Error, Labels, Selector};
 
-/// The deadline of a request whose intent sets none, in milliseconds.
+/// The deadline of requests whose intent sets none.
 pub const DEFAULT_DEADLINE_MS: u64 = 60_000;
 
-/// Everything that operators decide, as one generation.
+/// One generation of the operators' routing configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// Grows with every accepted change; a process refuses a lower one.
+    /// Grows with each accepted change; processes refuse a lower one.
     pub generation: u64,
     /// The workspaces.
     pub workspaces: Vec<Workspace>,
-    /// The kinds of request.
+    /// The kinds of requests.
     pub kinds: Vec<Arc<Kind>>,
-    /// The models that may be asked for.
+    /// The models that may be requested.
     #[serde(default)]
     pub models: Vec<Arc<str>>,
     /// Labels that operators add to upstreams.
     #[serde(default)]
     pub upstreams: Vec<Upstream>,
-    /// What is known of pools of upstreams.
+    /// Properties of pools of upstreams.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub pools: Vec<Pool>,
     /// The intents.
     pub intents: Vec<Arc<Intent>>,
 }
 
-/// A pool of upstreams: those whose label `service` is its name.
+/// A pool of upstreams. Its members are the upstreams whose label `service` is the pool's name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
@@ -43,55 +43,55 @@
     /// How long an upstream is cold after it has started, in milliseconds.
     #[serde(default)]
     pub cold_ms: u64,
-    /// How many requests a second a cold one bears; zero sets no limit.
+    /// Requests per second that a cold upstream may get; zero sets no limit.
     #[serde(default)]
     pub cold_per_s: f64,
 }
 
-/// A workspace and the digest of its key.
+/// A workspace and the digests of its keys.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
     /// The name.
     pub name: Arc<str>,
-    /// SHA-256 of the workspace key, in hexadecimal; a list while keys are
-    /// being replaced. A workspace without a key is that of anonymous callers.
+    /// The SHA-256 of the workspace key, in hexadecimal; a list while keys are
+    /// being replaced. The first workspace without a key is used for anonymous callers.
     #[serde(with = "crate::keys")]
     pub key_sha256: Vec<Arc<str>>,
-    /// Goes before the priority of the intents.
+    /// Overrides the priority of intents.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub priority: Option<i32>,
     /// The labels.
     #[serde(default)]
     pub labels: Labels,
-    /// Which upstreams its work may go to, beside what the intents say; all, if empty.
+    /// Further conditions on the upstreams of its requests, beside those of the intents.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub upstreams: Vec<Selector>,
 }
 
-/// A kind of request.
+/// A kind of requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-#[expect(clippy::struct_excessive_bools, reason = "each is a word of the operator's document")]
+#[expect(clippy::struct_excessive_bools, reason = "each is a field of the operators' document")]
 pub struct Kind {
     /// The name.
     pub name: Arc<str>,
-    /// Whether the fleet may run such a request again by itself.
+    /// Whether the fleet may retry such requests on its own.
     pub repeatable: bool,
-    /// Whether a request that may not be repeated is taken without an
-    /// idempotency key; it then goes to another upstream only if it has not run.
+    /// Whether requests that may not be repeated are accepted without an
+    /// idempotency key; they are then retried only if they have not run.
     #[serde(default)]
     pub keyless: bool,
     /// Whether the answer is a stream of events.
     #[serde(default)]
     pub events: bool,
-    /// Whether a broken stream may be continued at another upstream.
+    /// Whether another upstream may continue an interrupted stream.
     #[serde(default)]
     pub resumable: bool,
     /// Whether callers need no key.
     #[serde(default)]
     pub anonymous: bool,
-    /// Where callers find it, beside the fleet's own paths.
+    /// The paths of these requests, beside the fleet's own.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub paths: Vec<Location>,
     /// The labels.
@@ -99,8 +99,7 @@
     pub labels: Labels,
 }
 
-/// A host and a path prefix. Of a host's prefixes the longest that begins the
-/// path counts.
+/// A host and a path prefix. The longest matching prefix of a host applies.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Location {
@@ -116,60 +115,59 @@
 pub struct Upstream {
     /// The upstream's name.
     pub name: Arc<str>,
-    /// The labels, added to those that its host reports.
+    /// Labels that are added to those that its host reports.
     pub labels: Labels,
 }
 
-/// Which work may go where, and how.
+/// Which requests may go to which upstreams, with their priority and limits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Intent {
-    /// The name, for explaining.
+    /// The name, as shown in explanations.
     pub name: Arc<str>,
-    /// Of the intents that match a request, the highest rank decides.
+    /// Of the intents that match a request, the one with the highest rank applies.
     #[serde(default)]
     pub rank: i32,
-    /// Which workspaces; all, if empty.
+    /// Conditions on the workspace; any if empty.
     #[serde(default)]
     pub workspaces: Vec<Selector>,
-    /// Which kinds of request; all, if empty.
+    /// Conditions on the kind of request; any if empty.
     #[serde(default)]
     pub kinds: Vec<Selector>,
-    /// Which models; all, if empty.
+    /// The models; any if empty.
     #[serde(default)]
     pub models: Vec<Arc<str>>,
-    /// Which upstreams.
+    /// Conditions on the upstreams.
     pub upstreams: Vec<Selector>,
-    /// Which failure domains; all, if empty.
+    /// The failure domains of the upstreams; any if empty.
     #[serde(default)]
     pub domains: Vec<Arc<str>>,
-    /// Lower runs earlier.
+    /// Requests with a lower number run earlier.
     #[serde(default)]
     pub priority: i32,
-    /// The time a request has, in milliseconds.
+    /// The time limit of a request, in milliseconds.
     #[serde(default = "default_deadline")]
     pub deadline_ms: u64,
-    /// The most upstreams that one request may be sent to; the router's own
-    /// setting, if none.
+    /// The maximum number of upstreams that a request is sent to; the router's
+    /// setting if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub attempts: Option<u32>,
-    /// The time to an answer, or to its first event, that callers hope for, in
+    /// The target time to an answer, or to the first event of a stream, in
     /// milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub objective_ms: Option<u64>,
-    /// Shares of the requests that go to further sets of upstreams.
+    /// Shares of the requests that go to other upstreams.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub split: Vec<Share>,
 }
 
-/// A share of an intent's requests. The upstreams of the intent itself take
-/// what is left of 100 after all shares.
+/// A share of an intent's requests. The intent's own upstreams get the rest.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Share {
-    /// Of 100 requests.
+    /// The percentage of the requests.
     pub percent: f64,
-    /// Which upstreams.
+    /// Conditions on the upstreams.
     pub upstreams: Vec<Selector>,
 }
 
@@ -178,16 +176,16 @@
 }
 
 impl Document {
-    /// Reads a document; [`crate::Plan::compile`] checks it.
+    /// Parses a document; [`crate::Plan::compile`] validates it.
     ///
     /// # Errors
     ///
-    /// The path of the first value that is not of the right shape.
+    /// The first value of a wrong type, with its path.
     pub fn parse(json: &str) -> Result<Self, Error> {
-        let mut reader = serde_json::Deserializer::from_str(json);
-        serde_path_to_error::deserialize(&mut reader).map_err(|fault| {
-            let path = fault.path().to_string();
-            Err::<(), _>(fault.into_inner()).context(ShapeSnafu { path }).unwrap_err()
+        let mut deserializer = serde_json::Deserializer::from_str(json);
+        serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
+            let path = error.path().to_string();
+            Err::<(), _>(error.into_inner()).context(ShapeSnafu { path }).unwrap_err()
         })
     }
 }
--- a/components/intents/src/error.rs
+++ b/components/intents/src/error.rs
@@ -1,27 +1,27 @@
-//! What can be wrong with a document.
+//! Errors of documents.
 
 use snafu::Snafu;
 
-/// A fault of a document, with the path to it.
+/// An error in a document, with its path.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The document is not JSON of the right shape.
+    /// The document is not JSON, or a value has a wrong type.
     #[snafu(display("at {path}: {source}"))]
     Shape {
-        /// Where in the document.
+        /// The path in the document.
         path: String,
-        /// What `serde_json` says.
+        /// The cause.
         source: serde_json::Error,
     },
     /// A value breaks a rule.
     #[snafu(display("at {path}: {value} is not allowed: {rule}"))]
     Rule {
-        /// Where in the document.
+        /// The path in the document.
         path: String,
         /// The value, as JSON.
         value: String,
-        /// What is allowed.
+        /// The allowed values.
         rule: &'static str,
     },
 }
--- a/components/intents/src/keys.rs
+++ b/components/intents/src/keys.rs
@@ -1,4 +1,4 @@
-//! How the digests of a workspace's keys stand in a document: one, or a list.
+//! Serializes the digests of a workspace's keys as a string, or as a list unless there is one.
 
 use std::sync::Arc;
 
@@ -7,8 +7,8 @@
 #[derive(Serialize, Deserialize)]
 #[serde(untagged)]
 enum Keys {
-    One(Arc<str>),
-    Many(Vec<Arc<str>>),
+    Single(Arc<str>),
+    List(Vec<Arc<str>>),
 }
 
 pub(crate) fn serialize<S: Serializer>(
@@ -16,8 +16,8 @@
     serializer: S,
 ) -> Result<S::Ok, S::Error> {
     match keys {
-        [key] => Keys::One(key.clone()).serialize(serializer),
-        keys => Keys::Many(keys.to_vec()).serialize(serializer),
+        [key] => Keys::Single(key.clone()).serialize(serializer),
+        keys => Keys::List(keys.to_vec()).serialize(serializer),
     }
 }
 
@@ -25,7 +25,7 @@
     deserializer: D,
 ) -> Result<Vec<Arc<str>>, D::Error> {
     Ok(match Keys::deserialize(deserializer)? {
-        Keys::One(key) => vec![key],
-        Keys::Many(keys) => keys,
+        Keys::Single(key) => vec![key],
+        Keys::List(keys) => keys,
     })
 }
--- a/components/intents/src/lib.rs
+++ b/components/intents/src/lib.rs
@@ -1,9 +1,9 @@
 //! Routing intents: documents, selectors and their compiled form.
 //!
-//! An operator's [`Document`] names workspaces, kinds of request, models and
-//! labels of upstreams, and holds the intents that say which work may go where.
-//! [`Plan::compile`] checks a document in full and turns it into a form that
-//! answers [`Plan::find`] by one look-up.
+//! An operator's [`Document`] contains workspaces, kinds of requests, models and
+//! labels of upstreams, and the intents that define which requests may go to
+//! which upstreams. [`Plan::compile`] validates a document and prepares it for
+//! lookups with [`Plan::find`].
 
 mod check;
 mod digest;
--- a/components/intents/src/matches.rs
+++ b/components/intents/src/matches.rs
@@ -1,43 +1,45 @@
-//! Which intents match which workspaces and kinds.
+//! The index of the intents that match each workspace and kind.
 //!
-//! Most intents of a large document are for all workspaces and one kind. They stand in one
-//! list by kind; only those that select workspaces are kept by workspace and kind. A row for
-//! each workspace and kind took 41,000 lists with 1,600 kinds and 25 workspaces.
+//! Most intents of a large document match all workspaces and one kind, so these are stored by kind
+//! only.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use crate::plan::{NAME, named};
+use crate::plan::{NAME, with_name};
 use crate::{Document, Intent, Labels, Selector};
 
-/// The matching intents, by their places in the document.
+/// The matching intents, by their indices in the document.
 #[derive(Debug, Default)]
 pub(crate) struct Matches {
-    /// Kinds and the intents for all workspaces that match them, sorted.
+    /// Pairs of a kind and a matching intent for all workspaces, sorted.
     general: Vec<(usize, usize)>,
-    /// For a workspace and a kind, the matching intents that select workspaces.
+    /// The matching intents with conditions on the workspace, by workspace and kind.
     selective: HashMap<(usize, usize), Vec<usize>>,
 }
 
 impl Matches {
-    /// The matches of `document`, whose kinds stand at `places`.
-    pub(crate) fn new(document: &Document, places: &HashMap<Arc<str>, usize>) -> Self {
-        let workspaces: Vec<_> =
-            document.workspaces.iter().map(|it| named(&it.name, &it.labels)).collect();
-        let mut kinds = Kinds { document, places, labels: Vec::new() };
+    /// Indexes the intents of `document`; `kind_indices` maps the names of its kinds to indices.
+    pub(crate) fn new(document: &Document, kind_indices: &HashMap<Arc<str>, usize>) -> Self {
+        let workspaces: Vec<_> = document
+            .workspaces
+            .iter()
+            .map(|workspace| with_name(&workspace.name, &workspace.labels))
+            .collect();
+        let mut kinds = Kinds { document, indices: kind_indices, labels: Vec::new() };
         let mut matches = Self::default();
-        for (place, intent) in document.intents.iter().enumerate() {
-            let fitting = kinds.fitting(intent);
+        for (index, intent) in document.intents.iter().enumerate() {
+            let matching = kinds.matching(intent);
             if intent.workspaces.is_empty() {
-                matches.general.extend(fitting.into_iter().map(|kind| (kind, place)));
+                matches.general.extend(matching.into_iter().map(|kind| (kind, index)));
                 continue;
             }
-            let selected = workspaces.iter().enumerate();
+            let candidates = workspaces.iter().enumerate();
             for (workspace, _) in
-                selected.filter(|(_, labels)| Selector::all_match(&intent.workspaces, labels))
+                candidates.filter(|(_, labels)| Selector::all_match(&intent.workspaces, labels))
             {
-                for kind in &fitting {
-                    matches.selective.entry((workspace, *kind)).or_default().push(place);
+                for kind in &matching {
+                    matches.selective.entry((workspace, *kind)).or_default().push(index);
                 }
             }
         }
@@ -47,34 +49,34 @@
 
     /// The intents that match a workspace and a kind.
     pub(crate) fn of(&self, workspace: usize, kind: usize) -> impl Iterator<Item = usize> {
-        let start = self.general.partition_point(|(it, _)| *it < kind);
-        let general = self.general[start..].iter().take_while(move |(it, _)| *it == kind);
+        let start = self.general.partition_point(|(other, _)| *other < kind);
+        let general = self.general[start..].iter().take_while(move |(other, _)| *other == kind);
         let selective = self.selective.get(&(workspace, kind)).into_iter().flatten();
-        general.map(|(_, place)| *place).chain(selective.copied())
+        general.map(|(_, index)| *index).chain(selective.copied())
     }
 }
 
-/// The kinds of a document, and their labels once an intent asks for them.
+/// The kinds of a document, with their labels once they are needed.
 struct Kinds<'a> {
     document: &'a Document,
-    places: &'a HashMap<Arc<str>, usize>,
+    indices: &'a HashMap<Arc<str>, usize>,
     labels: Vec<Labels>,
 }
 
 impl Kinds<'_> {
-    /// The places of the kinds that an intent names. Most intents select one kind by its
-    /// name, which needs no look at the others.
-    fn fitting(&mut self, intent: &Intent) -> Vec<usize> {
+    /// The indices of the kinds that match an intent. Most intents select one kind by its name, which
+    /// needs no iteration.
+    fn matching(&mut self, intent: &Intent) -> Vec<usize> {
         if let [Selector::Equals { label, value }] = &*intent.kinds
             && &**label == NAME
         {
-            return self.places.get(value).copied().into_iter().collect();
+            return self.indices.get(value).copied().into_iter().collect();
         }
         if self.labels.is_empty() {
             let kinds = self.document.kinds.iter();
-            self.labels = kinds.map(|it| named(&it.name, &it.labels)).collect();
+            self.labels = kinds.map(|kind| with_name(&kind.name, &kind.labels)).collect();
         }
-        let fits = |it: &usize| Selector::all_match(&intent.kinds, &self.labels[*it]);
-        (0..self.labels.len()).filter(fits).collect()
+        let is_match = |kind: &usize| Selector::all_match(&intent.kinds, &self.labels[*kind]);
+        (0..self.labels.len()).filter(is_match).collect()
     }
 }
--- a/components/intents/src/selector.rs
+++ b/components/intents/src/selector.rs
@@ -1,4 +1,4 @@
-//! Labels, and selectors over them.
+//! Labels and selectors.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 
 /// The labels of a workspace, a kind of request or an upstream.
 ///
-/// The label `name` always holds the thing's own name.
+/// The label `name` always holds the name of the labelled object.
 pub type Labels = BTreeMap<Arc<str>, Arc<str>>;
 
 /// A condition on labels.
@@ -28,7 +28,7 @@
         /// The values.
         values: Vec<Arc<str>>,
     },
-    /// The label is there, whatever its value.
+    /// The label exists with any value.
     Exists {
         /// The label's name.
         label: Arc<str>,
@@ -45,13 +45,15 @@
     pub fn matches(&self, labels: &Labels) -> bool {
         match self {
             Self::Equals { label, value } => labels.get(label) == Some(value),
-            Self::In { label, values } => labels.get(label).is_some_and(|it| values.contains(it)),
+            Self::In { label, values } => {
+                labels.get(label).is_some_and(|value| values.contains(value))
+            }
             Self::Exists { label } => labels.contains_key(label),
             Self::Not { selector } => !selector.matches(labels),
         }
     }
 
-    /// Whether `labels` meet every one of `selectors`.
+    /// Whether `labels` meet all of `selectors`.
     pub fn all_match(selectors: &[Self], labels: &Labels) -> bool {
         selectors.iter().all(|selector| selector.matches(labels))
     }
--- a/components/intents/tests/matching.rs
+++ b/components/intents/tests/matching.rs
@@ -1,4 +1,4 @@
-//! The compiled plan against a naive matcher.
+//! Compares lookups in the compiled plan with a search of the document.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-/// The seed of the cases, so that every run is the same.
+/// The fixed seed of the cases.
 const SEED: u64 = 20_261_202;
 
 fn word() -> impl Strategy<Value = Arc<str>> {
@@ -26,7 +26,7 @@
         word().prop_map(|label| Selector::Exists { label }),
     ];
     leaf.prop_recursive(2, 4, 1, |inner| {
-        inner.prop_map(|it| Selector::Not { selector: Box::new(it) })
+        inner.prop_map(|negated| Selector::Not { selector: Box::new(negated) })
     })
 }
 
@@ -46,8 +46,8 @@
             workspaces: workspaces
                 .into_iter()
                 .enumerate()
-                .map(|(place, labels)| Workspace {
-                    name: format!("w{place}").into(),
+                .map(|(index, labels)| Workspace {
+                    name: format!("w{index}").into(),
                     key_sha256: vec!["0".repeat(64).into()],
                     priority: None,
                     labels,
@@ -57,8 +57,8 @@
             kinds: kinds
                 .into_iter()
                 .enumerate()
-                .map(|(place, labels)| Kind {
-                    name: format!("k{place}").into(),
+                .map(|(index, labels)| Kind {
+                    name: format!("k{index}").into(),
                     repeatable: true,
                     keyless: false,
                     events: false,
@@ -75,8 +75,8 @@
             intents: intents
                 .into_iter()
                 .enumerate()
-                .map(|(place, (workspaces, kinds, models, rank))| Intent {
-                    name: format!("i{place}").into(),
+                .map(|(index, (workspaces, kinds, models, rank))| Intent {
+                    name: format!("i{index}").into(),
                     rank,
                     workspaces,
                     kinds,
@@ -94,32 +94,38 @@
         })
 }
 
-/// Reads the whole document for every question.
-fn naive(
+/// Searches all intents of the document.
+fn search(
     document: &Document,
     workspace: usize,
     kind: usize,
     model: Option<&str>,
 ) -> Result<Arc<str>, Miss> {
-    let named = |name: &Arc<str>, labels: &Labels| {
+    let with_name = |name: &Arc<str>, labels: &Labels| {
         let mut labels: BTreeMap<_, _> = labels.clone();
         labels.insert("name".into(), name.clone());
         labels
     };
     let workspace = &document.workspaces[workspace];
     let kind = &document.kinds[kind];
-    let fits = |intent: &&Arc<Intent>| {
-        intent.workspaces.iter().all(|it| it.matches(&named(&workspace.name, &workspace.labels)))
-            && intent.kinds.iter().all(|it| it.matches(&named(&kind.name, &kind.labels)))
+    let is_match = |intent: &&Arc<Intent>| {
+        intent
+            .workspaces
+            .iter()
+            .all(|selector| selector.matches(&with_name(&workspace.name, &workspace.labels)))
+            && intent
+                .kinds
+                .iter()
+                .all(|selector| selector.matches(&with_name(&kind.name, &kind.labels)))
             && (intent.models.is_empty()
-                || model.is_some_and(|model| intent.models.iter().any(|it| &**it == model)))
+                || model.is_some_and(|model| intent.models.iter().any(|name| &**name == model)))
     };
-    let fitting: Vec<_> = document.intents.iter().filter(fits).collect();
-    let best = fitting.iter().map(|it| it.rank).max().ok_or(Miss::NoIntent)?;
-    let best: Vec<_> = fitting.iter().filter(|it| it.rank == best).collect();
+    let matching: Vec<_> = document.intents.iter().filter(is_match).collect();
+    let rank = matching.iter().map(|intent| intent.rank).max().ok_or(Miss::NoIntent)?;
+    let best: Vec<_> = matching.iter().filter(|intent| intent.rank == rank).collect();
     match best.as_slice() {
-        [one] => Ok(one.name.clone()),
-        [one, other, ..] => Err(Miss::Ambiguous(one.name.clone(), other.name.clone())),
+        [intent] => Ok(intent.name.clone()),
+        [first, second, ..] => Err(Miss::Ambiguous(first.name.clone(), second.name.clone())),
         [] => Err(Miss::NoIntent),
     }
 }
@@ -133,14 +139,14 @@
     })]
 
     #[test]
-    fn the_plan_finds_what_a_naive_matcher_finds(document in document()) {
-        let plan = Plan::compile(document.clone()).expect("the document is right");
+    fn lookups_agree_with_a_search_of_the_document(document in document()) {
+        let plan = Plan::compile(document.clone()).expect("the document is valid");
         for workspace in 0..document.workspaces.len() {
             for kind in 0..document.kinds.len() {
                 for model in [None, Some("a"), Some("c")] {
                     let found = plan.find(&format!("w{workspace}"), &format!("k{kind}"), model);
-                    let found = found.map(|it| it.intent.name.clone());
-                    prop_assert_eq!(found, naive(&document, workspace, kind, model));
+                    let found = found.map(|target| target.intent.name.clone());
+                    prop_assert_eq!(found, search(&document, workspace, kind, model));
                 }
             }
         }
@@ -148,9 +154,10 @@
 }
 
 #[test]
-fn unknown_names_match_nothing() {
+fn unknown_names_and_wrong_keys_match_nothing() {
     let json = include_str!("../../../examples/intents.json");
-    let plan = Plan::compile(Document::parse(json).expect("it parses")).expect("it is right");
+    let plan = Plan::compile(Document::parse(json).expect("the example parses"))
+        .expect("the example is valid");
     assert_eq!(plan.find("nobody", "chat", None).map(|_| ()), Err(Miss::NoIntent));
     assert_eq!(plan.find("mesa", "nothing", None).map(|_| ()), Err(Miss::NoIntent));
     assert_eq!(plan.find("mesa", "chat", Some("x")).map(|_| ()), Err(Miss::UnknownModel));
