--- a/components/errors/src/lib.rs
+++ b/components/errors/src/lib.rs
@@ -1,8 +1,8 @@
-//! The closed list of error kinds, and the table from kind to answer.
+//! The closed list of error kinds and their answers.
 //!
 //! Every refusal or failure that a caller can see is one [`Kind`]. The kind
-//! alone decides the HTTP status, the [`Outcome`] and whether a time to come
-//! back is given, so no other code may decide these.
+//! alone determines the HTTP status, the [`Outcome`] and whether the answer
+//! contains a retry delay.
 
 mod table;
 
--- a/components/errors/tests/table.rs
+++ b/components/errors/tests/table.rs
@@ -1,4 +1,4 @@
-//! The whole table from kind to answer.
+//! The table of error kinds.
 
 use errors::{Answer, Kind, Outcome};
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn only_what_did_not_run_is_tried_elsewhere() {
+fn only_requests_that_did_not_run_are_retried_elsewhere() {
     for kind in Kind::ALL {
         let row = kind.row();
         assert!(!row.elsewhere || row.outcome == Outcome::NotRun, "{kind:?}");
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn an_answer_names_a_time_only_where_it_helps() {
+fn an_answer_contains_a_retry_delay_only_for_kinds_with_one() {
     for kind in Kind::ALL {
         let answer = Answer::new(*kind, "r", 7, "");
         assert_eq!(answer.retry_after_ms.is_some(), kind.row().retry_after, "{kind:?}");
--- a/components/settings/src/check.rs
+++ b/components/settings/src/check.rs
@@ -1,4 +1,4 @@
-//! Rules that a type alone can't hold.
+//! Validation of values beyond their types.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -9,12 +9,12 @@
 use crate::Error;
 use crate::error::RuleSnafu;
 
-/// The shortest key that a process may use, in bytes.
-const SHORTEST_KEY: usize = 16;
+/// Minimum length of a link key.
+const MIN_KEY_BYTES: usize = 16;
 
-/// Settings that can be checked after reading.
+/// Settings that are validated after parsing.
 pub trait Check {
-    /// Checks every value.
+    /// Validates all values.
     ///
     /// # Errors
     ///
@@ -22,13 +22,14 @@
     fn check(&self) -> Result<(), Error>;
 }
 
-/// Switches are all that a type can hold.
+/// All values are switches, which need no validation.
 impl Check for routing::Mechanisms {
     fn check(&self) -> Result<(), Error> {
         Ok(())
     }
 }
 
+/// Fails with `path` and `value` unless `holds`.
 pub(crate) fn rule(
     holds: bool,
     path: &'static str,
@@ -49,14 +50,14 @@
 }
 
 pub(crate) fn name(path: &'static str, value: &str) -> Result<(), Error> {
-    let allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
-    let holds = !value.is_empty() && value.bytes().all(allowed);
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
+    let holds = !value.is_empty() && value.bytes().all(is_allowed);
     rule(holds, path, value, "letters, digits, '-' and '_', at least one")
 }
 
-/// The value of a key is never shown.
+/// Checks a key; the error does not contain it.
 pub(crate) fn key(path: &'static str, value: &str) -> Result<(), Error> {
-    rule(value.len() >= SHORTEST_KEY, path, "the key", "at least 16 bytes")
+    rule(value.len() >= MIN_KEY_BYTES, path, "the key", "at least 16 bytes")
 }
 
 pub(crate) fn bound(path: &'static str, value: &Bound) -> Result<(), Error> {
--- a/components/settings/src/error.rs
+++ b/components/settings/src/error.rs
@@ -1,10 +1,10 @@
-//! What can be wrong with a settings file.
+//! Errors of settings files.
 
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// A fault of a settings file.
+/// An error in a settings file.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
@@ -13,25 +13,25 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The cause.
         source: std::io::Error,
     },
-    /// The document is not JSON of the right shape.
+    /// The document is not JSON, or a value has a wrong type.
     #[snafu(display("at {path}: {source}"))]
     Shape {
-        /// Where in the document.
+        /// The path in the document.
         path: String,
-        /// What `serde_json` says.
+        /// The cause.
         source: serde_json::Error,
     },
     /// A value breaks a rule.
     #[snafu(display("at {path}: {value} is not allowed: {rule}"))]
     Rule {
-        /// Where in the document.
+        /// The path in the document.
         path: &'static str,
         /// The value.
         value: String,
-        /// What is allowed.
+        /// The allowed values.
         rule: &'static str,
     },
 }
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -1,8 +1,7 @@
-//! Settings of every binary, read from JSON and checked at start.
+//! Settings of all binaries, read from JSON and validated at start.
 //!
-//! Every struct refuses unknown fields and has a default for each field that
-//! may be left out. A fault names the path in the document, the value and what
-//! is allowed.
+//! Unknown fields are rejected; optional fields have defaults. An error contains
+//! the path in the document, the value and the allowed values.
 
 mod check;
 mod error;
--- a/components/settings/src/load.rs
+++ b/components/settings/src/load.rs
@@ -1,4 +1,4 @@
-//! Reading a settings file.
+//! Loading of settings files.
 
 use std::path::Path;
 
@@ -8,26 +8,26 @@
 use crate::error::{ReadSnafu, ShapeSnafu};
 use crate::{Check, Error};
 
-/// Reads and checks the settings file at `path`.
+/// Reads and validates the settings file at `path`.
 ///
 /// # Errors
 ///
-/// A file that can't be read, or the first fault in it.
+/// A file that can't be read, or the first error in it.
 pub fn load<T: Check + DeserializeOwned>(path: &Path) -> Result<T, Error> {
     let json = std::fs::read_to_string(path).context(ReadSnafu { path })?;
     parse(&json)
 }
 
-/// Reads and checks settings from JSON.
+/// Parses and validates settings from JSON.
 ///
 /// # Errors
 ///
-/// The first fault.
+/// The first error.
 pub fn parse<T: Check + DeserializeOwned>(json: &str) -> Result<T, Error> {
-    let mut reader = serde_json::Deserializer::from_str(json);
-    let settings: T = serde_path_to_error::deserialize(&mut reader).map_err(|fault| {
-        let path = fault.path().to_string();
-        Err::<(), _>(fault.into_inner()).context(ShapeSnafu { path }).unwrap_err()
+    let mut deserializer = serde_json::Deserializer::from_str(json);
+    let settings: T = serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
+        let path = error.path().to_string();
+        Err::<(), _>(error.into_inner()).context(ShapeSnafu { path }).unwrap_err()
     })?;
     settings.check()?;
     Ok(settings)
--- a/components/settings/src/router.rs
+++ b/components/settings/src/router.rs
@@ -13,50 +13,50 @@
 pub struct Router {
     /// The router's name; part of every request id.
     pub name: Arc<str>,
-    /// Where callers connect: IP number and port.
+    /// The address for callers: IP address and port.
     pub listen: Arc<str>,
     /// The key that all processes of the fleet share.
     pub link_key: Arc<str>,
     /// The platform's list of hosts.
     pub hosts_url: Arc<str>,
-    /// The platform's key-value service; without it, a call that may not be
-    /// repeated needs a key from this fleet.
+    /// The platform's key-value service; without one, calls that may not be
+    /// repeated need an idempotency key from this fleet.
     #[serde(default)]
     pub store_url: Option<Arc<str>>,
-    /// The file of the routing intents.
+    /// The path of the file with the routing intents.
     pub intents: Arc<str>,
-    /// How often the list of hosts is read, in milliseconds.
+    /// The time between two reads of the list of hosts, in milliseconds.
     #[serde(default = "defaults::hosts_every_ms")]
     pub hosts_every_ms: u64,
-    /// The largest request body, in bytes.
+    /// The maximum size of a request body, in bytes.
     #[serde(default = "defaults::body_bytes")]
     pub body_bytes: usize,
-    /// How long a request body may take to come, in milliseconds.
+    /// The time limit for receiving a request body, in milliseconds.
     #[serde(default = "defaults::body_ms")]
     pub body_ms: u64,
-    /// How long a link may take to stand, in milliseconds.
+    /// The time limit for establishing a link, in milliseconds.
     #[serde(default = "defaults::connect_ms")]
     pub connect_ms: u64,
-    /// How long a planned stop waits for requests in flight, in milliseconds.
+    /// The time limit for requests in flight during a planned stop, in milliseconds.
     #[serde(default = "defaults::drain_ms")]
     pub drain_ms: u64,
-    /// How long `/readyz` says no before a planned stop refuses new requests,
-    /// in milliseconds.
+    /// How long `/readyz` fails before a planned stop refuses new requests, in
+    /// milliseconds.
     #[serde(default = "defaults::drain_notice_ms")]
     pub drain_notice_ms: u64,
-    /// The collector of traces, such as `http://127.0.0.1:4318`; no spans are
-    /// made without one.
+    /// The trace collector, such as `http://127.0.0.1:4318`; without one, no spans
+    /// are recorded.
     #[serde(default)]
     pub traces_url: Option<Arc<str>>,
-    /// The decisions' settings.
+    /// Settings of routing decisions.
     #[serde(default)]
     pub routing: routing::Settings,
     /// The router's own failure domain, if it is known.
     #[serde(default)]
     pub domain: Arc<str>,
-    /// Set where a platform's adapter makes the settings: upstreams are reached
-    /// directly, and the platform's store takes the place of the list of hosts
-    /// and of the file of the intents.
+    /// Set by the adapter of a platform: upstreams are then reached directly, and
+    /// the platform's store replaces the list of hosts and the file with the
+    /// intents.
     #[serde(skip)]
     pub direct: Option<Direct>,
 }
@@ -64,20 +64,19 @@
 /// The settings of a router without sidecars.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Direct {
-    /// Where operators and the platform ask for `/metrics` and whether the
-    /// router is ready: IP number and port.
+    /// The address for `/metrics` and readiness checks: IP address and port.
     pub admin: Arc<str>,
-    /// Where hints of other routers come in: IP number and UDP port. Without it
-    /// the router neither takes nor gives any.
+    /// The address for hints of other routers: IP address and UDP port. Without
+    /// one, the router neither sends nor receives hints.
     pub hints: Option<Arc<str>>,
-    /// How long to wait between two looks at the platform's store, in
-    /// milliseconds.
+    /// The time between two polls of the platform's store, in milliseconds.
     pub poll_interval_ms: u64,
-    /// How old the proof may get of what a router hears from others, in milliseconds.
+    /// How long a confirmation of the store's content by another router is valid, in
+    /// milliseconds.
     pub confirmation_ttl_ms: u64,
-    /// How much the host has to spare for other routers; only the order among hosts counts.
+    /// The host's capacity for serving other routers, compared between hosts.
     pub strength: u32,
-    /// Whether the whole fleet starts for the first time.
+    /// Whether this is the first start of the whole fleet.
     pub first_start: bool,
 }
 
@@ -131,8 +130,8 @@
     }
 }
 
-/// The largest request body that a frame of the link has room for, in bytes.
-const MAX_BODY: usize = 1024 * 1024;
+/// Upper bound of a request body, which has to fit into a frame of the link.
+const MAX_BODY_BYTES: usize = 1024 * 1024;
 
 impl Check for Router {
     fn check(&self) -> Result<(), Error> {
@@ -148,8 +147,8 @@
         }
         positive("hosts_every_ms", self.hosts_every_ms)?;
         positive("body_bytes", self.body_bytes as u64)?;
-        let fits = self.body_bytes <= MAX_BODY;
-        crate::check::rule(fits, "body_bytes", self.body_bytes, "at most 1048576")?;
+        let holds = self.body_bytes <= MAX_BODY_BYTES;
+        crate::check::rule(holds, "body_bytes", self.body_bytes, "at most 1048576")?;
         positive("body_ms", self.body_ms)?;
         positive("connect_ms", self.connect_ms)?;
         bound("routing.bound", &self.routing.bound)?;
--- a/components/settings/src/sidecar.rs
+++ b/components/settings/src/sidecar.rs
@@ -12,39 +12,39 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sidecar {
-    /// The upstream's name, as the platform's list has it.
+    /// The upstream's name in the platform's list of hosts.
     pub name: Arc<str>,
-    /// Where routers connect: IP number and port.
+    /// The address for routers: IP address and port.
     pub listen: Arc<str>,
-    /// Where operators connect: IP number and port.
+    /// The address for operators: IP address and port.
     pub admin: Arc<str>,
     /// The key that all processes of the fleet share.
     pub link_key: Arc<str>,
-    /// The upstream's own address.
+    /// The base URL of the upstream.
     pub upstream_url: Arc<str>,
-    /// What the upstream is.
+    /// The type of the upstream.
     pub service: Service,
     /// The platform's list of hosts.
     pub hosts_url: Arc<str>,
-    /// The labels that tell which upstreams belong to the same pool.
+    /// The labels that all upstreams of the same pool have.
     #[serde(default)]
     pub pool: BTreeMap<Arc<str>, Arc<str>>,
-    /// How often the list of hosts is read, in milliseconds.
+    /// The time between two reads of the list of hosts, in milliseconds.
     #[serde(default = "defaults::hosts_every_ms")]
     pub hosts_every_ms: u64,
-    /// How long a planned stop waits for requests in flight, in milliseconds.
+    /// The time limit for requests in flight during a planned stop, in milliseconds.
     #[serde(default = "defaults::drain_ms")]
     pub drain_ms: u64,
-    /// The collector of traces, such as `http://127.0.0.1:4318`; no spans are
-    /// made without one.
+    /// The trace collector, such as `http://127.0.0.1:4318`; without one, no spans
+    /// are recorded.
     #[serde(default)]
     pub traces_url: Option<Arc<str>>,
-    /// The decisions' settings.
+    /// Settings of admission decisions.
     #[serde(default)]
     pub admission: admission::Settings,
 }
 
-/// What an upstream is.
+/// The type of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Service {
