--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -172,7 +172,7 @@
             Effect::UpdateDirectory { .. } => self.core.queue_update(effect),
             Effect::CloseIdle { address } => self.core.client().forget(&address),
             Effect::Postpone(backoff) => {
-                self.backoff_until = Some(Instant::now() + backoff.duration())
+                self.backoff_until = Some(Instant::now() + backoff.duration());
             }
             Effect::Record(_)
             | Effect::Connect { .. }
