--- a/components/errors/src/table.rs
+++ b/components/errors/src/table.rs
@@ -103,7 +103,7 @@
     Leaving: 503 NotRun true true "the upstream is leaving";
     /// The sidecar can't reach its upstream.
     UpstreamDown: 503 NotRun true true "the upstream can't be reached";
-    /// The upstream's host can't be reached; nothing was sent.
+    /// The upstream's host can't be reached; no byte of the request arrived.
     Unreachable: 503 NotRun true true "the upstream's host can't be reached";
     /// The request is quarantined, since upstreams crashed under the same work.
     HeldBack: 503 NotRun false true "upstreams have ended under this work; it is held back";
--- a/components/intents/src/check.rs
+++ b/components/intents/src/check.rs
@@ -20,7 +20,7 @@
 /// The first value that breaks a rule, with its path.
 pub(crate) fn check(document: &Document) -> Result<(), Error> {
     let path = || "generation".to_owned();
-    rule(document.generation > 0, path, &document.generation, "a number above 0")?;
+    check_rule(document.generation > 0, path, &document.generation, "a number above 0")?;
     check_names("workspaces", document.workspaces.iter().map(|workspace| &workspace.name))?;
     check_names("kinds", document.kinds.iter().map(|kind| &kind.name))?;
     check_names("upstreams", document.upstreams.iter().map(|upstream| &upstream.name))?;
@@ -38,16 +38,16 @@
     let path = || format!("workspaces[{index}].key_sha256");
     let is_digest = |key: &Arc<str>| key.len() == digest::LENGTH && key.bytes().all(is_lower_hex);
     let holds = workspace.key_sha256.iter().all(is_digest);
-    rule(holds, path, &"(not shown)", "64 lower-case hexadecimal digits")
+    check_rule(holds, path, &"(not shown)", "64 lower-case hexadecimal digits")
 }
 
 fn check_intent(index: usize, intent: &Intent, models: &[Arc<str>]) -> Result<(), Error> {
     let path = || format!("intents[{index}].deadline_ms");
     let holds = (1..=MAX_DEADLINE_MS).contains(&intent.deadline_ms);
-    rule(holds, path, &intent.deadline_ms, "1 to 86400000")?;
+    check_rule(holds, path, &intent.deadline_ms, "1 to 86400000")?;
     for (model, name) in intent.models.iter().enumerate() {
         let path = || format!("intents[{index}].models[{model}]");
-        rule(models.contains(name), path, name, "one of the document's models")?;
+        check_rule(models.contains(name), path, name, "one of the document's models")?;
     }
     Ok(())
 }
@@ -56,14 +56,14 @@
     let mut seen = HashSet::new();
     for (index, name) in names.enumerate() {
         let path = || format!("{list}[{index}].name");
-        rule(!name.is_empty(), path, name, "a name that is not empty")?;
-        rule(seen.insert(name), path, name, "a name that stands once in the list")?;
+        check_rule(!name.is_empty(), path, name, "a name that is not empty")?;
+        check_rule(seen.insert(name), path, name, "a name that stands once in the list")?;
     }
     Ok(())
 }
 
 /// Fails with `path` and `value` unless `holds`. `path` is only evaluated on failure.
-fn rule(
+fn check_rule(
     holds: bool,
     path: impl FnOnce() -> String,
     value: &(impl Serialize + Debug),
--- a/components/intents/src/document.rs
+++ b/components/intents/src/document.rs
@@ -105,7 +105,7 @@
 pub struct Location {
     /// The host, in lower case and without a port.
     pub host: Arc<str>,
-    /// The prefix; it begins and ends with a slash.
+    /// The prefix, which begins and ends with a slash.
     pub prefix: Arc<str>,
 }
 
--- a/components/intents/src/keys.rs
+++ b/components/intents/src/keys.rs
@@ -1,4 +1,4 @@
-//! Serializes the digests of a workspace's keys as a string, or as a list unless there is one.
+//! Serializes the digests of a workspace's keys: one as a string, others as a list.
 
 use std::sync::Arc;
 
--- a/components/intents/src/matches.rs
+++ b/components/intents/src/matches.rs
@@ -1,6 +1,6 @@
 //! The index of the intents that match each workspace and kind.
 //!
-//! Most intents of a large document match all workspaces and one kind, so these are stored by kind
+//! Intents without conditions on the workspace, as most of a large document are, are stored by kind
 //! only.
 
 use std::collections::HashMap;
--- a/components/settings/src/router.rs
+++ b/components/settings/src/router.rs
@@ -4,7 +4,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::check::{address, base, bound, key, name, positive};
+use crate::check::{
+    check_address, check_base_url, check_bound, check_key, check_name, check_positive,
+};
 use crate::{Check, Error};
 
 /// The settings of a router.
@@ -17,9 +19,9 @@
     pub listen: Arc<str>,
     /// The key that all processes of the fleet share.
     pub link_key: Arc<str>,
-    /// The platform's list of hosts.
+    /// The URL of the platform's list of hosts.
     pub hosts_url: Arc<str>,
-    /// The platform's key-value service; without one, calls that may not be
+    /// The URL of the platform's key-value service; without one, calls that may not be
     /// repeated need an idempotency key from this fleet.
     #[serde(default)]
     pub store_url: Option<Arc<str>>,
@@ -44,7 +46,7 @@
     /// milliseconds.
     #[serde(default = "defaults::drain_notice_ms")]
     pub drain_notice_ms: u64,
-    /// The trace collector, such as `http://127.0.0.1:4318`; without one, no spans
+    /// The URL of the trace collector, such as `http://127.0.0.1:4318`; without one, no spans
     /// are recorded.
     #[serde(default)]
     pub traces_url: Option<Arc<str>>,
@@ -135,31 +137,31 @@
 
 impl Check for Router {
     fn check(&self) -> Result<(), Error> {
-        name("name", &self.name)?;
-        address("listen", &self.listen)?;
-        key("link_key", &self.link_key)?;
-        base("hosts_url", &self.hosts_url)?;
+        check_name("name", &self.name)?;
+        check_address("listen", &self.listen)?;
+        check_key("link_key", &self.link_key)?;
+        check_base_url("hosts_url", &self.hosts_url)?;
         if let Some(url) = &self.store_url {
-            base("store_url", url)?;
+            check_base_url("store_url", url)?;
         }
         if let Some(url) = &self.traces_url {
-            base("traces_url", url)?;
+            check_base_url("traces_url", url)?;
         }
-        positive("hosts_every_ms", self.hosts_every_ms)?;
-        positive("body_bytes", self.body_bytes as u64)?;
+        check_positive("hosts_every_ms", self.hosts_every_ms)?;
+        check_positive("body_bytes", self.body_bytes as u64)?;
         let holds = self.body_bytes <= MAX_BODY_BYTES;
-        crate::check::rule(holds, "body_bytes", self.body_bytes, "at most 1048576")?;
-        positive("body_ms", self.body_ms)?;
-        positive("connect_ms", self.connect_ms)?;
-        bound("routing.bound", &self.routing.bound)?;
+        crate::check::check_rule(holds, "body_bytes", self.body_bytes, "at most 1048576")?;
+        check_positive("body_ms", self.body_ms)?;
+        check_positive("connect_ms", self.connect_ms)?;
+        check_bound("routing.bound", &self.routing.bound)?;
         for weight in self.routing.weights.values() {
             let holds = weight.is_finite() && *weight > 0.0;
-            crate::check::rule(holds, "routing.weights", weight, "a number above 0")?;
+            crate::check::check_rule(holds, "routing.weights", weight, "a number above 0")?;
         }
         let gives_back = self.routing.gives_back;
         let holds = (0.0..=10.0).contains(&gives_back);
-        crate::check::rule(holds, "routing.gives_back", gives_back, "a number of 0 to 10")?;
-        positive("routing.quarantine_ends", self.routing.quarantine_ends as u64)?;
-        positive("routing.max_attempts", u64::from(self.routing.max_attempts))
+        crate::check::check_rule(holds, "routing.gives_back", gives_back, "a number of 0 to 10")?;
+        check_positive("routing.quarantine_ends", self.routing.quarantine_ends as u64)?;
+        check_positive("routing.max_attempts", u64::from(self.routing.max_attempts))
     }
 }
--- a/components/settings/src/sidecar.rs
+++ b/components/settings/src/sidecar.rs
@@ -5,7 +5,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::check::{address, base, bound, key, name, positive};
+use crate::check::{
+    check_address, check_base_url, check_bound, check_key, check_name, check_positive,
+};
 use crate::{Check, Error};
 
 /// The settings of a sidecar.
@@ -24,7 +26,7 @@
     pub upstream_url: Arc<str>,
     /// The type of the upstream.
     pub service: Service,
-    /// The platform's list of hosts.
+    /// The URL of the platform's list of hosts.
     pub hosts_url: Arc<str>,
     /// The labels that all upstreams of the same pool have.
     #[serde(default)]
@@ -35,7 +37,7 @@
     /// The time limit for requests in flight during a planned stop, in milliseconds.
     #[serde(default = "defaults::drain_ms")]
     pub drain_ms: u64,
-    /// The trace collector, such as `http://127.0.0.1:4318`; without one, no spans
+    /// The URL of the trace collector, such as `http://127.0.0.1:4318`; without one, no spans
     /// are recorded.
     #[serde(default)]
     pub traces_url: Option<Arc<str>>,
@@ -66,17 +68,17 @@
 
 impl Check for Sidecar {
     fn check(&self) -> Result<(), Error> {
-        name("name", &self.name)?;
-        address("listen", &self.listen)?;
-        address("admin", &self.admin)?;
-        key("link_key", &self.link_key)?;
-        base("upstream_url", &self.upstream_url)?;
-        base("hosts_url", &self.hosts_url)?;
+        check_name("name", &self.name)?;
+        check_address("listen", &self.listen)?;
+        check_address("admin", &self.admin)?;
+        check_key("link_key", &self.link_key)?;
+        check_base_url("upstream_url", &self.upstream_url)?;
+        check_base_url("hosts_url", &self.hosts_url)?;
         if let Some(url) = &self.traces_url {
-            base("traces_url", url)?;
+            check_base_url("traces_url", url)?;
         }
-        positive("hosts_every_ms", self.hosts_every_ms)?;
-        bound("admission.bound", &self.admission.bound)?;
-        positive("admission.slots", self.admission.slots as u64)
+        check_positive("hosts_every_ms", self.hosts_every_ms)?;
+        check_bound("admission.bound", &self.admission.bound)?;
+        check_positive("admission.slots", self.admission.slots as u64)
     }
 }
