--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -13,17 +13,17 @@
 mod answers;
 mod freshness;
 mod gossip;
-mod hearers;
-mod home;
+mod locality;
 mod mirror;
 mod referrals;
 mod roster;
 mod sources;
+mod subscribers;
 
 pub use answers::AnswerCache;
 pub use freshness::{ANSWER_TIMEOUT, Freshness};
 pub use gossip::{Gossip, Neighbours, Origin};
-pub use hearers::Subscribers;
 pub use mirror::{Mirror, Position};
 pub use roster::Roster;
 pub use sources::{Source, Sources};
+pub use subscribers::Subscribers;
--- a/components/fleet/src/sources.rs
+++ b/components/fleet/src/sources.rs
@@ -8,7 +8,7 @@
 use placement::{key, score};
 
 use crate::Roster;
-use crate::home::Locality;
+use crate::locality::Locality;
 use crate::referrals::Referrals;
 
 /// The pollers of a fleet with one failure domain. Of several domains each has one, as the others
