--- a/components/routing/src/admission.rs
+++ b/components/routing/src/admission.rs
@@ -21,9 +21,9 @@
 use wire::Delay;
 
 use crate::Effect;
-use crate::beliefs::outlook::Estimate;
 use crate::requests::request::Request;
 use crate::state::State;
+use crate::upstreams::estimate::Estimate;
 
 pub(crate) use self::shares::Shares;
 pub(crate) use flow::Flow;
--- a/components/routing/src/admission/estimator.rs
+++ b/components/routing/src/admission/estimator.rs
@@ -4,7 +4,7 @@
 
 use clock::Millis;
 
-use crate::beliefs::outlook::{millis_to_f64, to_f64};
+use crate::upstreams::estimate::{millis_to_f64, to_f64};
 
 /// Weight of a new observation in the base time, if it is shorter.
 const FALL_WEIGHT: f64 = 0.2;
--- a/components/routing/src/admission/flow.rs
+++ b/components/routing/src/admission/flow.rs
@@ -9,7 +9,7 @@
 use super::Forecast;
 use super::estimator::Estimator;
 use super::retry_after::Bookings;
-use crate::beliefs::outlook::to_f64;
+use crate::upstreams::estimate::to_f64;
 
 /// Fraction of an objective within which an answer is expected to begin; actual waits vary widely
 /// around the estimate.
--- a/components/routing/src/admission/retry_after.rs
+++ b/components/routing/src/admission/retry_after.rs
@@ -2,7 +2,7 @@
 
 use clock::Millis;
 
-use crate::beliefs::outlook::millis_to_f64;
+use crate::upstreams::estimate::millis_to_f64;
 
 /// Half-life of completions, in milliseconds.
 const HALF_LIFE_MS: f64 = 2_000.0;
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -4,7 +4,6 @@
 //! to carry out. Production, tests and capacity experiments use the same reducer.
 
 mod admission;
-mod beliefs;
 mod effect;
 mod event;
 mod mechanisms;
@@ -14,9 +13,8 @@
 mod selection;
 mod settings;
 mod state;
+mod upstreams;
 
-pub use beliefs::listing::{Listing, MISSING_TTL};
-pub use beliefs::upstream::Upstream;
 pub use effect::{Attempt, Effect};
 pub use event::{Arrival, Event, Host, IdempotencyKey, Owner, Prefix, Reply};
 pub use mechanisms::Mechanisms;
@@ -28,3 +26,5 @@
 pub use settings::{Policy, Settings};
 pub use shares::{Rank, Standing};
 pub use state::State;
+pub use upstreams::listing::{Listing, MISSING_TTL};
+pub use upstreams::upstream::Upstream;
--- a/components/routing/src/recovery.rs
+++ b/components/routing/src/recovery.rs
@@ -2,7 +2,7 @@
 //! draining.
 
 pub(crate) mod budget;
+pub(crate) mod draining;
 pub(crate) mod quarantine;
 pub(crate) mod retry;
 pub(crate) mod silence;
-pub(crate) mod stopping;
--- a/components/routing/src/recovery/silence.rs
+++ b/components/routing/src/recovery/silence.rs
@@ -9,9 +9,9 @@
 use errors::Kind;
 
 use crate::Effect;
-use crate::beliefs::upstream::FAILURES_BEFORE_PROBE;
 use crate::requests::request::Request;
 use crate::state::State;
+use crate::upstreams::upstream::FAILURES_BEFORE_PROBE;
 
 /// Silence timeout of a request as a percentage of its objective: the request is late by then.
 const SILENCE_TIMEOUT_PERCENT: u64 = 200;
--- a/components/routing/src/requests/dispatch.rs
+++ b/components/routing/src/requests/dispatch.rs
@@ -7,11 +7,11 @@
 use placement::key;
 use rand::Rng;
 
-use crate::beliefs::outlook::{Estimate, millis_to_f64};
-use crate::beliefs::upstream::{BACKING_OFF, COLD, EVACUATED, OVER_BOUND};
 use crate::requests::request::{Phase, Request};
 use crate::selection::prefill::Prefill;
 use crate::state::State;
+use crate::upstreams::estimate::{Estimate, millis_to_f64};
+use crate::upstreams::upstream::{BACKING_OFF, COLD, EVACUATED, OVER_BOUND};
 use crate::{Attempt, Effect, Try};
 
 /// Upper bound of the random addition to a retry delay after a backoff.
--- a/components/routing/src/requests/permits.rs
+++ b/components/routing/src/requests/permits.rs
@@ -15,9 +15,9 @@
 use wire::{Claim, Finish};
 
 use crate::Effect;
-use crate::beliefs::upstream::Upstream;
 use crate::requests::request::{Permit, Phase};
 use crate::state::State;
+use crate::upstreams::upstream::Upstream;
 
 /// How long a pool counts as saturated after a refusal, until the pool owner reports it.
 const SATURATION_TTL: Millis = Millis(1_500);
--- a/components/routing/src/requests/request.rs
+++ b/components/routing/src/requests/request.rs
@@ -6,7 +6,7 @@
 use errors::{Kind, Outcome};
 use shares::Standing;
 
-use crate::beliefs::outlook::Estimate;
+use crate::upstreams::estimate::Estimate;
 use crate::{Arrival, Exclusion, IdempotencyKey, Try};
 
 /// Progress of the current attempt.
--- a/components/routing/src/selection/candidates.rs
+++ b/components/routing/src/selection/candidates.rs
@@ -7,10 +7,10 @@
 use intents::{Intent, Selector, Target};
 use placement::{Pool, key, top};
 
-use crate::beliefs::health::Outcomes;
-use crate::beliefs::outlook::Estimate;
-use crate::beliefs::room::{Allocation, is_degraded};
-use crate::beliefs::upstream::{ALLOCATION_USED, OVER_BOUND, SUSPECT, UNHEALTHY};
+use crate::upstreams::allocation::{Allocation, is_degraded};
+use crate::upstreams::estimate::Estimate;
+use crate::upstreams::health::Outcomes;
+use crate::upstreams::upstream::{ALLOCATION_USED, OVER_BOUND, SUSPECT, UNHEALTHY};
 use crate::{Arrival, Exclusion, Policy, Settings, Upstream};
 
 /// Maximum number of candidates of a request.
--- a/components/routing/src/selection/prefill.rs
+++ b/components/routing/src/selection/prefill.rs
@@ -2,9 +2,9 @@
 
 use std::sync::Arc;
 
-use crate::beliefs::warmth::PrefixIndex;
 use crate::requests::request::Request;
 use crate::selection::candidates::Upstreams;
+use crate::upstreams::prefix_index::PrefixIndex;
 use crate::{Mechanisms, Upstream};
 
 /// An upstream whose load is at least its slots divided by this may have evicted cached prefixes.
--- a/components/routing/src/selection/ranking.rs
+++ b/components/routing/src/selection/ranking.rs
@@ -5,9 +5,9 @@
 use clock::Millis;
 use intents::{Intent, Selector};
 
-use crate::beliefs::outlook::Estimate;
 use crate::selection::candidates::Selection;
 use crate::state::State;
+use crate::upstreams::estimate::Estimate;
 use crate::{Arrival, Policy, Upstream};
 
 /// Label with the name of an upstream's pool.
--- a/components/routing/src/state.rs
+++ b/components/routing/src/state.rs
@@ -10,16 +10,16 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::admission::{Flow, Shares};
-use crate::beliefs::cold::Members;
-use crate::beliefs::fleet::labels;
-use crate::beliefs::loads::Peers;
-use crate::beliefs::warmth::PrefixIndex;
-use crate::beliefs::word::Notices;
+use crate::recovery::draining::{Drain, Durations};
 use crate::recovery::quarantine::Quarantine;
-use crate::recovery::stopping::{Drain, Durations};
 use crate::requests::permits::Saturation;
 use crate::requests::request::Request;
 use crate::selection::candidates::{Index, Upstreams};
+use crate::upstreams::cold::Members;
+use crate::upstreams::loads::Peers;
+use crate::upstreams::notices::Notices;
+use crate::upstreams::prefix_index::PrefixIndex;
+use crate::upstreams::updates::labels;
 use crate::{Budget, Effect, Event, Settings, Upstream};
 
 /// State of a router's reducer.
--- a/components/routing/src/beliefs/room.rs
+++ b/components/routing/src/upstreams/allocation.rs
@@ -8,8 +8,8 @@
 use clock::Millis;
 use placement::{Bound, Pool, digest};
 
-use crate::beliefs::outlook::Estimate;
-use crate::beliefs::upstream::Upstream;
+use crate::upstreams::estimate::Estimate;
+use crate::upstreams::upstream::Upstream;
 
 /// A pool is degraded if at least one of this many members is unavailable.
 const DEGRADED_ONE_IN: usize = 4;
--- a/components/routing/src/beliefs/cold.rs
+++ b/components/routing/src/upstreams/cold.rs
@@ -12,8 +12,8 @@
 use placement::{key, score};
 
 use crate::Settings;
-use crate::beliefs::upstream::Upstream;
 use crate::state::State;
+use crate::upstreams::upstream::Upstream;
 
 /// Sliding window in which requests to a cold upstream are counted: one second and a margin
 /// for the time that connections take to open.
--- a/components/routing/src/beliefs/loads.rs
+++ b/components/routing/src/upstreams/loads.rs
@@ -8,10 +8,10 @@
 use wire::{Load, Loads, Observation, Observations, Outcome};
 
 use crate::Effect;
-use crate::beliefs::outlook;
-use crate::beliefs::upstream::Upstream;
 use crate::selection::candidates::Upstreams;
 use crate::state::State;
+use crate::upstreams::estimate;
+use crate::upstreams::upstream::Upstream;
 
 /// How long the loads of a router count after its last report.
 const LOADS_TTL: Millis = Millis(2_000);
@@ -99,7 +99,7 @@
             let Some(upstream) = self.upstreams.get_mut(&entry.upstream) else { continue };
             if upstream.record_load(entry.requests, entry.waiting, now - Millis(entry.age_ms)) {
                 let mean = self.mean_loads.entry(upstream.pool()).or_default();
-                *mean = outlook::update_mean(*mean, entry.requests);
+                *mean = estimate::update_mean(*mean, entry.requests);
             }
         }
     }
--- a/components/routing/src/beliefs/word.rs
+++ b/components/routing/src/upstreams/notices.rs
@@ -9,8 +9,8 @@
 use indexmap::IndexMap;
 
 use crate::Effect;
-use crate::beliefs::upstream::Upstream;
 use crate::state::State;
+use crate::upstreams::upstream::Upstream;
 
 /// Maximum number of upstreams whose notices are kept.
 const MAX_NOTICES: usize = 4_096;
--- a/components/routing/src/beliefs/fleet.rs
+++ b/components/routing/src/upstreams/updates.rs
@@ -7,8 +7,8 @@
 use rand::Rng;
 use wire::{Status, Welcome};
 
-use crate::beliefs::outlook;
 use crate::state::State;
+use crate::upstreams::estimate;
 use crate::{Effect, Host, Settings, Upstream};
 
 /// Incarnation of all upstreams that are reached directly, whose names change with each start.
@@ -91,7 +91,7 @@
         upstream.record_load(requests, waiting, now);
         upstream.unreported_load = Some((requests, waiting, now));
         let mean = self.mean_loads.entry(upstream.pool()).or_default();
-        *mean = outlook::update_mean(*mean, requests);
+        *mean = estimate::update_mean(*mean, requests);
         Vec::new()
     }
 
--- a/components/routing/src/beliefs/upstream.rs
+++ b/components/routing/src/upstreams/upstream.rs
@@ -8,11 +8,11 @@
 use placement::Pool;
 use wire::Status;
 
-use crate::beliefs::cold::ColdStart;
-use crate::beliefs::health::{Health, Outcomes};
-use crate::beliefs::outlook::{Estimate, to_f64};
-use crate::beliefs::word::Notice;
 use crate::selection::ranking::POOL_LABEL;
+use crate::upstreams::cold::ColdStart;
+use crate::upstreams::estimate::{Estimate, to_f64};
+use crate::upstreams::health::{Health, Outcomes};
+use crate::upstreams::notices::Notice;
 use crate::{Effect, Host, Settings};
 
 /// Upper bound for the exponent of the backoff after failures.
