--- a/components/standin/src/hosts.rs
+++ b/components/standin/src/hosts.rs
@@ -63,7 +63,7 @@
     }
 
     /// Marks a host as leaving.
-    pub fn leave(&self, name: &str) {
+    pub fn mark_leaving(&self, name: &str) {
         let mut lists = lock(&self.lists);
         for host in &mut lists.truth {
             if host["name"] == name {
--- a/components/standin/src/lib.rs
+++ b/components/standin/src/lib.rs
@@ -13,9 +13,9 @@
 mod store;
 mod text;
 
-pub use engine::{Engine, Fault, Settings as EngineSettings};
+pub use engine::{Engine, Fault as EngineFault, Settings as EngineSettings};
 pub use hosts::Hosts;
-pub use plain::Plain;
+pub use plain::PlainService;
 pub use server::Server;
-pub use store::{Store, Trouble};
+pub use store::{Fault as StoreFault, Store};
 pub use text::{Prompt, answer};
--- a/components/standin/src/plain.rs
+++ b/components/standin/src/plain.rs
@@ -15,7 +15,7 @@
 
 /// A running service: it runs whatever it gets and counts it by key.
 #[derive(Debug)]
-pub struct Plain {
+pub struct PlainService {
     server: Server,
     runs: Runs,
 }
@@ -27,7 +27,7 @@
     runs: Runs,
 }
 
-impl Plain {
+impl PlainService {
     /// Starts a service that listens on `address` and takes `latency` a call.
     ///
     /// # Errors
--- a/components/standin/src/store.rs
+++ b/components/standin/src/store.rs
@@ -18,20 +18,20 @@
 
 /// What is wrong with the service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Fault {
     /// Nothing.
     #[default]
     None,
     /// Every call fails without an effect.
     Down,
     /// Every call takes this much longer, in milliseconds.
-    Slow(u64),
+    Delay(u64),
     /// Every call takes effect, but its answer is lost.
-    LosesAnswers,
+    DropAnswers,
 }
 
 /// How often a watch looks for changes.
-const WATCH_EVERY: Duration = Duration::from_millis(20);
+const WATCH_INTERVAL: Duration = Duration::from_millis(20);
 
 #[derive(Clone, Debug)]
 struct Entry {
@@ -43,7 +43,7 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    trouble: Trouble,
+    fault: Fault,
     revision: u64,
     entries: BTreeMap<String, Entry>,
     leases: BTreeMap<u64, (Instant, Duration)>,
@@ -80,7 +80,7 @@
                 .route("/v3/lease/keepalive", call(Inner::keep_alive))
                 .route("/v3/lease/revoke", call(Inner::revoke))
                 .route("/v3/watch", web::post().to(watch))
-                .route("/trouble", web::post().to(set_trouble));
+                .route("/trouble", web::post().to(set_fault));
         })?;
         Ok(Self { server, shared })
     }
@@ -91,8 +91,8 @@
     }
 
     /// Makes it fail from now on.
-    pub fn set_trouble(&self, trouble: Trouble) {
-        self.shared.lock().trouble = trouble;
+    pub fn set_fault(&self, fault: Fault) {
+        self.shared.lock().fault = fault;
     }
 
     /// How many calls it has had.
@@ -118,11 +118,11 @@
     shared: &Shared,
     act: fn(&mut Inner, &Value) -> Value,
 ) -> HttpResponse {
-    let trouble = shared.lock().trouble;
-    match trouble {
-        Trouble::Down => return HttpResponse::ServiceUnavailable().finish(),
-        Trouble::Slow(more) => tokio::time::sleep(Duration::from_millis(more)).await,
-        Trouble::None | Trouble::LosesAnswers => {}
+    let fault = shared.lock().fault;
+    match fault {
+        Fault::Down => return HttpResponse::ServiceUnavailable().finish(),
+        Fault::Delay(more) => tokio::time::sleep(Duration::from_millis(more)).await,
+        Fault::None | Fault::DropAnswers => {}
     }
     let answer = {
         let mut inner = shared.lock();
@@ -130,23 +130,23 @@
         inner.lapse();
         act(&mut inner, body)
     };
-    if trouble == Trouble::LosesAnswers {
+    if fault == Fault::DropAnswers {
         return HttpResponse::GatewayTimeout().finish();
     }
     HttpResponse::Ok().json(&answer)
 }
 
-async fn set_trouble(
+async fn set_fault(
     body: web::types::Json<Value>,
     shared: web::types::State<Shared>,
 ) -> HttpResponse {
-    let trouble = match (body["trouble"].as_str(), body["ms"].as_u64()) {
-        (Some("down"), _) => Trouble::Down,
-        (Some("slow"), Some(more)) => Trouble::Slow(more),
-        (Some("loses_answers"), _) => Trouble::LosesAnswers,
-        _ => Trouble::None,
+    let fault = match (body["trouble"].as_str(), body["ms"].as_u64()) {
+        (Some("down"), _) => Fault::Down,
+        (Some("slow"), Some(more)) => Fault::Delay(more),
+        (Some("loses_answers"), _) => Fault::DropAnswers,
+        _ => Fault::None,
     };
-    shared.lock().trouble = trouble;
+    shared.lock().fault = fault;
     HttpResponse::Ok().finish()
 }
 
@@ -305,14 +305,14 @@
     let state = (shared.get_ref().clone(), key, end, from);
     let changes = stream::unfold(state, |(shared, key, end, from)| async move {
         loop {
-            tokio::time::sleep(WATCH_EVERY).await;
-            let (events, header, revision, trouble) = {
+            tokio::time::sleep(WATCH_INTERVAL).await;
+            let (events, header, revision, fault) = {
                 let mut inner = shared.lock();
                 inner.lapse();
                 let events = inner.changes(&key, &end, from);
-                (events, inner.header(), inner.revision, inner.trouble)
+                (events, inner.header(), inner.revision, inner.fault)
             };
-            if trouble == Trouble::Down {
+            if fault == Fault::Down {
                 return None;
             }
             if !events.is_empty() {
--- a/src/bin/silverstack-standin.rs
+++ b/src/bin/silverstack-standin.rs
@@ -5,7 +5,7 @@
 
 use gumdrop::Options;
 use silverstack::cli;
-use standin::{Engine, EngineSettings, Hosts, Plain, Server, Store};
+use standin::{Engine, EngineSettings, Hosts, PlainService, Server, Store};
 
 /// The program's name.
 const NAME: &str = "silverstack-standin";
@@ -59,7 +59,7 @@
             };
             Engine::start(listen, settings).map(|it| serve(it.server()))
         }
-        "plain" => Plain::start(listen, &arguments.name, step).map(|it| serve(it.server())),
+        "plain" => PlainService::start(listen, &arguments.name, step).map(|it| serve(it.server())),
         "hosts" => {
             Hosts::start(listen, Duration::from_millis(arguments.lag)).map(|it| serve(it.server()))
         }
--- a/src/local/fleet.rs
+++ b/src/local/fleet.rs
@@ -11,7 +11,7 @@
 use settings::Service;
 use sidecar::Sidecar;
 use snafu::{ResultExt, Snafu};
-use standin::{Engine, EngineSettings, Hosts, Plain, Store};
+use standin::{Engine, EngineSettings, Hosts, PlainService, Store};
 use tokio::task::JoinSet;
 
 /// Any free port of this host.
@@ -89,7 +89,7 @@
     hosts: Hosts,
     store: Store,
     engines: Vec<Engine>,
-    services: Vec<Plain>,
+    services: Vec<PlainService>,
     routers: JoinSet<bool>,
     router_stops: Vec<process::Stop>,
     router_urls: Vec<String>,
@@ -183,7 +183,7 @@
 
     fn add_service(&mut self, place: usize) -> Result<(), Error> {
         let name = format!("pickup-{}", place + 1);
-        let plain = Plain::start(ANY_PORT, &name, PLAIN_LATENCY).context(StandinSnafu)?;
+        let plain = PlainService::start(ANY_PORT, &name, PLAIN_LATENCY).context(StandinSnafu)?;
         let pool = BTreeMap::from([("service".into(), "pickup".into())]);
         self.add_sidecar(&name, place, &plain.server().url(), Service::Plain, &pool)?;
         self.services.push(plain);
--- a/tests/end_to_end/failures.rs
+++ b/tests/end_to_end/failures.rs
@@ -5,7 +5,7 @@
 use load::{Caller, Error, retry};
 use nix::sys::signal::Signal;
 use serde_json::json;
-use standin::{EngineSettings, Fault};
+use standin::{EngineFault, EngineSettings, StoreFault};
 use tokio::task::JoinSet;
 
 use crate::fleet::{Fleet, Layout, MODEL, chat, truth, until};
@@ -129,14 +129,14 @@
 async fn an_engine_that_breaks_off_or_ends_early_is_told_as_an_error() {
     let fleet = Fleet::start(Layout { services: 0, ..Layout::default() }).await;
     let caller = fleet.mesa(0).await;
-    for fault in [Fault::BreakAfter(5), Fault::ShortAfter(5)] {
+    for fault in [EngineFault::BreakAfter(5), EngineFault::ShortAfter(5)] {
         fleet.engines.iter().for_each(|it| it.set_fault(fault));
         let end = caller.chat(&chat("broken", 20, true)).await.expect_err("not whole");
         assert_eq!((end.kind(), end.outcome()), ("truncated", "ran"), "{fault:?}: {end}");
     }
-    fleet.engines.iter().for_each(|it| it.set_fault(Fault::BreakAfter(5)));
+    fleet.engines.iter().for_each(|it| it.set_fault(EngineFault::BreakAfter(5)));
     caller.chat(&chat("broken", 20, false)).await.expect_err("not whole");
-    fleet.engines.iter().for_each(|it| it.set_fault(Fault::None));
+    fleet.engines.iter().for_each(|it| it.set_fault(EngineFault::None));
     let chat = chat("mended", 20, true);
     assert_eq!(caller.chat(&chat).await.expect("whole").text, truth(&chat));
 }
@@ -156,7 +156,7 @@
 #[ntex::test]
 async fn a_leaving_upstream_gets_no_new_work() {
     let fleet = Fleet::start(Layout { services: 0, ..Layout::default() }).await;
-    fleet.hosts.leave("engine-2");
+    fleet.hosts.mark_leaving("engine-2");
     // The promise allows a few seconds; the list lags by 50 ms here.
     tokio::time::sleep(Duration::from_secs(1)).await;
     let before = fleet.engines[1].started();
@@ -218,15 +218,15 @@
 async fn an_outage_of_the_store_stops_only_keys_that_callers_made_up() {
     let fleet = Fleet::start(Layout { engines: 0, ..Layout::default() }).await;
     let caller = fleet.courier(0).await;
-    fleet.store.set_trouble(standin::Trouble::Down);
+    fleet.store.set_fault(StoreFault::Down);
     let key = caller.key("pickup").await.expect("a key needs no store");
     caller.call("pickup", "/a", Some(&key), "{}").await.expect("it runs");
     let end = caller.call("pickup", "/b", Some("own"), "{}").await.expect_err("no owner");
     assert_eq!(end.outcome(), "unknown");
-    fleet.store.set_trouble(standin::Trouble::LosesAnswers);
+    fleet.store.set_fault(StoreFault::DropAnswers);
     let end = caller.call("pickup", "/b", Some("own"), "{}").await.expect_err("no owner");
     assert_eq!(end.outcome(), "unknown");
-    fleet.store.set_trouble(standin::Trouble::None);
+    fleet.store.set_fault(StoreFault::None);
     caller.call("pickup", "/b", Some("own"), "{}").await.expect("it runs");
     assert_eq!(fleet.runs()["own"], 1);
     assert_eq!(fleet.runs()[&key], 1);
@@ -331,14 +331,14 @@
     let mut fleet = Fleet::start(Layout { engines: 0, ..slow() }).await;
     let calls = confirm_many(&fleet).await;
     until(|| async { fleet.runs().len() > REQUESTS / 4 }).await;
-    fleet.store.set_trouble(standin::Trouble::Down);
+    fleet.store.set_fault(StoreFault::Down);
     fleet.sidecars.get_mut("pickup-3").expect("it runs").kill();
     check_told(&fleet, &collect(calls).await);
     fleet.start_sidecar("pickup-3");
     fleet.wait_until_met().await;
     let during = collect(confirm_many(&fleet).await).await;
     assert!(during.iter().all(|(_, told)| told == &Err("unknown".to_owned())), "{during:?}");
-    fleet.store.set_trouble(standin::Trouble::None);
+    fleet.store.set_fault(StoreFault::None);
     let after = collect(confirm_many(&fleet).await).await;
     check_told(&fleet, &after);
     assert!(after.iter().any(|(_, told)| told.is_ok()));
--- a/tests/end_to_end/fleet.rs
+++ b/tests/end_to_end/fleet.rs
@@ -6,7 +6,7 @@
 
 use load::{Caller, Chat};
 use serde_json::{Value, json};
-use standin::{Engine, EngineSettings, Hosts, Plain, Prompt, Store};
+use standin::{Engine, EngineSettings, Hosts, PlainService, Prompt, Store};
 
 use crate::process::{Process, write};
 
@@ -57,7 +57,7 @@
     pub hosts: Hosts,
     pub store: Store,
     pub engines: Vec<Engine>,
-    pub services: Vec<Plain>,
+    pub services: Vec<PlainService>,
     pub sidecars: BTreeMap<String, Process>,
     pub routers: Vec<Process>,
     pub intents: PathBuf,
@@ -84,7 +84,8 @@
         }
         for place in 1..=fleet.layout.services {
             let name = format!("pickup-{place}");
-            let plain = Plain::start(ANY_PORT, &name, fleet.layout.latency).expect("it starts");
+            let plain =
+                PlainService::start(ANY_PORT, &name, fleet.layout.latency).expect("it starts");
             fleet.services.push(plain);
             fleet.start_sidecar(&name);
         }
--- a/tests/end_to_end/observe.rs
+++ b/tests/end_to_end/observe.rs
@@ -105,7 +105,8 @@
     assert_eq!(caller.status("/readyz").await.expect("it answers"), 503);
     fleet.layout.services = 1;
     let latency = fleet.layout.latency;
-    let plain = standin::Plain::start("127.0.0.1:0", "pickup-1", latency).expect("it starts");
+    let plain =
+        standin::PlainService::start("127.0.0.1:0", "pickup-1", latency).expect("it starts");
     fleet.services.push(plain);
     fleet.start_sidecar("pickup-1");
     until(|| async { caller.status("/readyz").await.ok() == Some(200) }).await;
