--- a/components/clock/src/lib.rs
+++ b/components/clock/src/lib.rs
@@ -95,20 +95,20 @@
 
 /// Notices that the host was suspended, by the time that the runtime's timers leave out.
 #[derive(Clone, Copy, Debug)]
-pub struct Sleep {
+pub struct Suspension {
     clock: Clock,
     counted: Instant,
     real: Millis,
 }
 
-impl Sleep {
+impl Suspension {
     /// Begins to watch.
     pub fn new(clock: Clock) -> Self {
         Self { clock, counted: Instant::now(), real: clock.now() }
     }
 
     /// For how long the host was suspended since this was asked last.
-    pub fn passed(&mut self) -> Millis {
+    pub fn take_elapsed(&mut self) -> Millis {
         let counted = millis(self.counted.elapsed());
         let slept = counted.until(self.real.until(self.clock.now()));
         *self = Self::new(self.clock);
--- a/components/clock/tests/clock.rs
+++ b/components/clock/tests/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use clock::{Clock, Millis, Sleep};
+use clock::{Clock, Millis, Suspension};
 use nix::time::{ClockId, clock_gettime};
 
 /// The host's clock that also counts suspension.
@@ -22,7 +22,7 @@
 
 #[test]
 fn a_host_that_was_not_suspended_has_not_slept() {
-    let mut sleep = Sleep::new(Clock::new());
+    let mut sleep = Suspension::new(Clock::new());
     std::thread::sleep(Duration::from_millis(30));
-    assert!(sleep.passed() <= Millis(2), "{sleep:?}");
+    assert!(sleep.take_elapsed() <= Millis(2), "{sleep:?}");
 }
--- a/components/events/src/lib.rs
+++ b/components/events/src/lib.rs
@@ -3,4 +3,4 @@
 
 mod splitter;
 
-pub use splitter::{Fault, Splitter};
+pub use splitter::{Error, Splitter};
--- a/components/events/src/splitter.rs
+++ b/components/events/src/splitter.rs
@@ -25,7 +25,7 @@
 
 /// Events that can't be part of the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-pub enum Fault {
+pub enum Error {
     /// An event is missing.
     #[snafu(display("an event is missing"))]
     Gap,
@@ -36,12 +36,12 @@
 
 impl Splitter {
     /// A splitter for an answer whose events up to `last` were passed on.
-    pub fn after(last: Option<u64>) -> Self {
+    pub fn resume_after(last: Option<u64>) -> Self {
         Self { rest: BytesMut::new(), last }
     }
 
     /// The number of the last event that was passed on.
-    pub fn last(&self) -> Option<u64> {
+    pub fn last_id(&self) -> Option<u64> {
         self.last
     }
 
@@ -56,12 +56,12 @@
     /// # Errors
     ///
     /// A gap in the numbers, or an event that is too large.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, Fault> {
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, Error> {
         let scanned = self.rest.len().saturating_sub(END.len() - 1);
         self.rest.extend_from_slice(bytes);
         let Some(whole) = last_end(&self.rest[scanned..]).map(|it| it + scanned) else {
             return if self.rest.len() > MAX_EVENT {
-                Err(Fault::TooLarge)
+                Err(Error::TooLarge)
             } else {
                 Ok(Bytes::new())
             };
@@ -78,11 +78,11 @@
     }
 
     /// Whether `event` is to be passed on; its number is noted.
-    fn is_next(&mut self, event: &[u8]) -> Result<bool, Fault> {
+    fn is_next(&mut self, event: &[u8]) -> Result<bool, Error> {
         let Some(id) = number(event) else { return Ok(true) };
         match self.last {
             Some(last) if id <= last => return Ok(false),
-            Some(last) if id > last + 1 => return Err(Fault::Gap),
+            Some(last) if id > last + 1 => return Err(Error::Gap),
             _ => {}
         }
         self.last = Some(id);
--- a/components/events/tests/splitter.rs
+++ b/components/events/tests/splitter.rs
@@ -1,6 +1,6 @@
 //! Streams cut anywhere, and streams that are not what they should be.
 
-use events::{Fault, Splitter};
+use events::{Error, Splitter};
 use proptest::prelude::*;
 
 fn event(id: u64, data: &str) -> String {
@@ -8,7 +8,7 @@
 }
 
 /// What a splitter lets through of `bytes`, fed in parts of these lengths.
-fn feed(splitter: &mut Splitter, bytes: &[u8], lengths: &[usize]) -> Result<Vec<u8>, Fault> {
+fn feed(splitter: &mut Splitter, bytes: &[u8], lengths: &[usize]) -> Result<Vec<u8>, Error> {
     let mut passed = Vec::new();
     let mut rest = bytes;
     for length in lengths.iter().cycle() {
@@ -33,7 +33,7 @@
         let mut splitter = Splitter::default();
         let passed = feed(&mut splitter, format!("{whole}{torn}").as_bytes(), &lengths).unwrap();
         prop_assert_eq!(passed, whole.as_bytes());
-        prop_assert_eq!(splitter.last(), Some(data.len() as u64));
+        prop_assert_eq!(splitter.last_id(), Some(data.len() as u64));
         prop_assert_eq!(splitter.is_partial(), !torn.is_empty());
     }
 
@@ -47,7 +47,7 @@
         let broke_after = broke_after.min(count);
         let begins_at = begins_at.min(broke_after + 1);
         let events = |from: u64, to: u64| (from..=to).map(|id| event(id, "x")).collect::<String>();
-        let mut splitter = Splitter::after((broke_after > 0).then_some(broke_after));
+        let mut splitter = Splitter::resume_after((broke_after > 0).then_some(broke_after));
         let second = events(begins_at.max(u64::from(broke_after == 0)), count);
         let passed = feed(&mut splitter, second.as_bytes(), &lengths).unwrap();
         prop_assert_eq!(String::from_utf8(passed).unwrap(), events(broke_after + 1, count));
@@ -55,9 +55,9 @@
 
     #[test]
     fn an_event_that_is_missing_is_noticed(last in 1_u64..1000, missing in 1_u64..1000) {
-        let mut splitter = Splitter::after(Some(last));
+        let mut splitter = Splitter::resume_after(Some(last));
         let jump = event(last + 1 + missing, "x");
-        prop_assert_eq!(splitter.push(jump.as_bytes()), Err(Fault::Gap));
+        prop_assert_eq!(splitter.push(jump.as_bytes()), Err(Error::Gap));
     }
 
     #[test]
@@ -77,5 +77,5 @@
     let mut splitter = Splitter::default();
     let part = vec![b'x'; 64 * 1024];
     let fault = (0..100).find_map(|_| splitter.push(&part).err());
-    assert_eq!(fault, Some(Fault::TooLarge));
+    assert_eq!(fault, Some(Error::TooLarge));
 }
--- a/components/link/src/client.rs
+++ b/components/link/src/client.rs
@@ -11,7 +11,8 @@
 use wire::{Frame, Hello, Welcome};
 
 use crate::error::{
-    BrokenSnafu, ConnectSnafu, EndedSnafu, KeySnafu, SlowSnafu, UnexpectedSnafu, UnopenedSnafu,
+    BrokenSnafu, ConnectSnafu, InvalidKeySnafu, StreamNotOpenedSnafu, TimeoutSnafu,
+    UnexpectedEndSnafu, UnexpectedSnafu,
 };
 use crate::{CONNECTION_WINDOW, Error, Sink, Source, WINDOW};
 
@@ -49,7 +50,7 @@
         timeout: Duration,
     ) -> Result<(Self, Welcome), Error> {
         let greeting = tokio::time::timeout(timeout, Self::greet(address, hello)).await;
-        greeting.unwrap_or_else(|_| SlowSnafu { address }.fail())
+        greeting.unwrap_or_else(|_| TimeoutSnafu { address }.fail())
     }
 
     async fn greet(address: &str, hello: Hello) -> Result<(Self, Welcome), Error> {
@@ -60,7 +61,7 @@
             .initial_connection_window_size(CONNECTION_WINDOW)
             .handshake(socket)
             .await
-            .context(UnopenedSnafu)?;
+            .context(StreamNotOpenedSnafu)?;
         let driver = ntex::rt::spawn(async move {
             let _ = connection.await;
         });
@@ -69,7 +70,7 @@
         match call.next().await {
             Ok(Some(Frame::Welcome(welcome))) => Ok((this, welcome)),
             Ok(Some(_)) => UnexpectedSnafu.fail(),
-            Ok(None) | Err(_) => KeySnafu.fail(),
+            Ok(None) | Err(_) => InvalidKeySnafu.fail(),
         }
     }
 
@@ -82,13 +83,13 @@
     ///
     /// # Errors
     ///
-    /// [`Error::nothing_sent`] tells whether the request may have arrived.
+    /// [`Error::is_unsent`] tells whether the request may have arrived.
     pub async fn call(&self, frame: &Frame) -> Result<Call, Error> {
-        let mut sender = self.sender.clone().ready().await.context(UnopenedSnafu)?;
+        let mut sender = self.sender.clone().ready().await.context(StreamNotOpenedSnafu)?;
         let mut request = http::Request::new(());
         *request.method_mut() = http::Method::POST;
         *request.uri_mut() = http::Uri::from_static("http://silverstack/link");
-        let (answer, stream) = sender.send_request(request, false).context(UnopenedSnafu)?;
+        let (answer, stream) = sender.send_request(request, false).context(StreamNotOpenedSnafu)?;
         let mut sink = Sink::new(stream);
         sink.finish(frame).await?;
         Ok(Call { sink, answer: Answer::Waiting(answer) })
@@ -108,7 +109,7 @@
         }
         match &mut self.answer {
             Answer::Open(source) => source.next().await,
-            Answer::Waiting(_) => EndedSnafu.fail(),
+            Answer::Waiting(_) => UnexpectedEndSnafu.fail(),
         }
     }
 
--- a/components/link/src/error.rs
+++ b/components/link/src/error.rs
@@ -16,13 +16,13 @@
     },
     /// The other side took too long to connect or to greet; no request was sent.
     #[snafu(display("{address} took too long to connect"))]
-    Slow {
+    Timeout {
         /// Where to.
         address: String,
     },
     /// The stream could not be opened; no byte of the request was sent.
     #[snafu(display("no stream could be opened"))]
-    Unopened {
+    StreamNotOpened {
         /// What `h2` says.
         source: h2::Error,
     },
@@ -34,18 +34,18 @@
     },
     /// The stream ended within a frame, or before the frame that must come.
     #[snafu(display("the stream ended too early"))]
-    Ended,
+    UnexpectedEnd,
     /// The frame is not one that may come here.
     #[snafu(display("an unexpected frame came"))]
     Unexpected,
     /// The link key is wrong.
     #[snafu(display("the link key was refused"))]
-    Key,
+    InvalidKey,
     /// The process at the address is not the one that was looked for.
-    #[snafu(display("{found} answered in place of {wanted}"))]
-    Stranger {
+    #[snafu(display("{found} answered in place of {expected}"))]
+    WrongPeer {
         /// Whom the list names.
-        wanted: String,
+        expected: String,
         /// Who answered.
         found: String,
     },
@@ -59,14 +59,14 @@
 
 impl Error {
     /// Whether no byte of a request can have reached the other side.
-    pub fn nothing_sent(&self) -> bool {
+    pub fn is_unsent(&self) -> bool {
         matches!(
             self,
             Self::Connect { .. }
-                | Self::Slow { .. }
-                | Self::Unopened { .. }
-                | Self::Key
-                | Self::Stranger { .. }
+                | Self::Timeout { .. }
+                | Self::StreamNotOpened { .. }
+                | Self::InvalidKey
+                | Self::WrongPeer { .. }
         )
     }
 }
--- a/components/link/src/links.rs
+++ b/components/link/src/links.rs
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::nothing_sent`] tells whether the request may have arrived.
+    /// [`Error::is_unsent`] tells whether the request may have arrived.
     pub async fn call(
         &self,
         upstream: &Arc<str>,
@@ -85,8 +85,8 @@
             Connection::open(address, self.hello.clone(), self.timeout).await?;
         if welcome.name != *upstream {
             // An address can be given to another host before the list shows it.
-            let (wanted, found) = (upstream.to_string(), welcome.name.to_string());
-            return Err(Error::Stranger { wanted, found });
+            let (expected, found) = (upstream.to_string(), welcome.name.to_string());
+            return Err(Error::WrongPeer { expected, found });
         }
         *slot = Some(Standing { address: address.into(), connection: connection.clone() });
         Ok((connection, Some(welcome)))
--- a/components/link/src/listener.rs
+++ b/components/link/src/listener.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 use wire::{Frame, Welcome};
 
-use crate::error::{BrokenSnafu, EndedSnafu, KeySnafu, UnexpectedSnafu};
+use crate::error::{BrokenSnafu, InvalidKeySnafu, UnexpectedEndSnafu, UnexpectedSnafu};
 use crate::{CONNECTION_WINDOW, Error, MAX_STREAMS, Sink, Source, WINDOW};
 
 /// How long a connection may take to show the link key.
@@ -64,7 +64,7 @@
     let mut connection = tokio::time::timeout(GREETING_TIMEOUT, handshake)
         .await
         .ok()
-        .context(EndedSnafu)?
+        .context(UnexpectedEndSnafu)?
         .context(BrokenSnafu)?;
     let greeted = Rc::new(RefCell::new(false));
     let handle = Rc::new(handle);
@@ -108,16 +108,16 @@
 
 async fn read(source: &mut Source) -> Result<Frame, Error> {
     let frame = tokio::time::timeout(REQUEST_TIMEOUT, source.next()).await;
-    frame.ok().context(EndedSnafu)??.context(EndedSnafu)
+    frame.ok().context(UnexpectedEndSnafu)??.context(UnexpectedEndSnafu)
 }
 
 async fn greet(source: &mut Source, identity: &Identity) -> Result<(), Error> {
     let frame = tokio::time::timeout(GREETING_TIMEOUT, source.next()).await;
-    let frame = frame.ok().context(EndedSnafu)??.context(EndedSnafu)?;
+    let frame = frame.ok().context(UnexpectedEndSnafu)??.context(UnexpectedEndSnafu)?;
     let Frame::Hello(hello) = frame else {
         return UnexpectedSnafu.fail();
     };
     let same = bool::from(hello.key.as_bytes().ct_eq(identity.key.as_bytes()));
-    ensure!(same, KeySnafu);
+    ensure!(same, InvalidKeySnafu);
     Ok(())
 }
--- a/components/link/src/stream.rs
+++ b/components/link/src/stream.rs
@@ -8,7 +8,7 @@
 use wire::Frame;
 
 use crate::Error;
-use crate::error::{BrokenSnafu, EndedSnafu, FrameSnafu};
+use crate::error::{BrokenSnafu, FrameSnafu, UnexpectedEndSnafu};
 
 /// The half that frames are written to.
 #[derive(Debug)]
@@ -67,7 +67,7 @@
             match poll_fn(|context| self.stream.poll_capacity(context)).await {
                 Some(Ok(_)) => {}
                 Some(Err(source)) => return Err(Error::Broken { source }),
-                None => return EndedSnafu.fail(),
+                None => return UnexpectedEndSnafu.fail(),
             }
         }
     }
@@ -97,7 +97,7 @@
             }
             let Some(data) = self.stream.data().await else {
                 if self.reader.is_partial() {
-                    return EndedSnafu.fail();
+                    return UnexpectedEndSnafu.fail();
                 }
                 return Ok(None);
             };
--- a/components/outbound/src/answer.rs
+++ b/components/outbound/src/answer.rs
@@ -12,7 +12,7 @@
 
 use crate::client::Kept;
 use crate::connection::Connection;
-use crate::fault::{EndedSnafu, Fault};
+use crate::error::{Error, InterruptedSnafu};
 
 /// How much earlier than its upstream an idle connection is given up, so that no
 /// request crosses its end.
@@ -59,7 +59,7 @@
     /// # Errors
     ///
     /// The connection broke before.
-    pub async fn next(&mut self) -> Option<Result<Bytes, Fault>> {
+    pub async fn next(&mut self) -> Option<Result<Bytes, Error>> {
         loop {
             match self.body.frame().await {
                 Some(Ok(frame)) => {
@@ -68,7 +68,7 @@
                         return Some(Ok(bytes));
                     }
                 }
-                Some(Err(fault)) => return Some(Err(fault).context(EndedSnafu)),
+                Some(Err(fault)) => return Some(Err(fault).context(InterruptedSnafu)),
                 None => {
                     if let Some(connection) = self.connection.take() {
                         self.kept.put(self.address.clone(), connection, self.idle);
--- a/components/outbound/src/client.rs
+++ b/components/outbound/src/client.rs
@@ -14,7 +14,7 @@
 
 use crate::Answer;
 use crate::connection::Connection;
-use crate::fault::{EndedSnafu, Fault, UnwritableSnafu};
+use crate::error::{Error, InterruptedSnafu, InvalidRequestSnafu};
 
 /// A request as it goes to an upstream.
 #[derive(Clone, Debug)]
@@ -30,13 +30,13 @@
 }
 
 impl Request {
-    fn build(self) -> Result<http::Request<Full<Bytes>>, Fault> {
+    fn build(self) -> Result<http::Request<Full<Bytes>>, Error> {
         let method = Method::from_bytes(self.method.as_bytes()).unwrap_or(Method::POST);
         let mut builder = http::Request::builder().method(method).uri(&*self.path);
         for (name, value) in &self.headers {
             builder = builder.header(&**name, &**value);
         }
-        builder.body(Full::new(self.body)).context(UnwritableSnafu)
+        builder.body(Full::new(self.body)).context(InvalidRequestSnafu)
     }
 }
 
@@ -106,7 +106,7 @@
         address: Arc<str>,
         request: Request,
         fresh: bool,
-    ) -> Result<Answer, Fault> {
+    ) -> Result<Answer, Error> {
         let mut request = request.build()?;
         let kept = || if fresh { None } else { self.kept.take(&address) };
         while let Some(mut connection) = kept() {
@@ -115,13 +115,13 @@
                 Err(mut fault) => match fault.take_message() {
                     // It ended before anything was written.
                     Some(unsent) => request = unsent,
-                    None => return Err(fault.into_error()).context(EndedSnafu),
+                    None => return Err(fault.into_error()).context(InterruptedSnafu),
                 },
             }
         }
         let mut connection = Connection::open(&address, self.connect).await?;
         let sent = connection.sender.send_request(request).await;
-        Ok(self.answer(address, connection, sent.context(EndedSnafu)?))
+        Ok(self.answer(address, connection, sent.context(InterruptedSnafu)?))
     }
 
     /// Opens a connection to `address` and keeps it for the next request.
@@ -129,14 +129,14 @@
     /// # Errors
     ///
     /// None could be opened.
-    pub async fn open(&self, address: &Arc<str>) -> Result<(), Fault> {
+    pub async fn preconnect(&self, address: &Arc<str>) -> Result<(), Error> {
         let connection = Connection::open(address, self.connect).await?;
         self.kept.put(address.clone(), connection, None);
         Ok(())
     }
 
     /// Closes the connections to `address` that wait for a request.
-    pub fn forget(&self, address: &str) {
+    pub fn close_idle(&self, address: &str) {
         self.kept.idle.borrow_mut().remove(address);
     }
 
--- a/components/outbound/src/connection.rs
+++ b/components/outbound/src/connection.rs
@@ -10,8 +10,8 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-use crate::Fault;
-use crate::fault::{EndedSnafu, NoConnectionSnafu};
+use crate::Error;
+use crate::error::{ConnectSnafu, InterruptedSnafu};
 
 /// The room for what was read and not yet taken, in bytes. The heads of the
 /// sites' answers have a few hundred; the library's own 400 KB would let a slow
@@ -28,13 +28,14 @@
 
 impl Connection {
     /// Opens a connection to `address` within `limit`.
-    pub(crate) async fn open(address: &str, limit: Duration) -> Result<Self, Fault> {
+    pub(crate) async fn open(address: &str, limit: Duration) -> Result<Self, Error> {
         let opened = tokio::time::timeout(limit, TcpStream::connect(address)).await;
-        let stream = opened.map_err(|_| Fault::Timeout)?.context(NoConnectionSnafu)?;
-        stream.set_nodelay(true).context(NoConnectionSnafu)?;
+        let stream = opened.map_err(|_| Error::Timeout)?.context(ConnectSnafu)?;
+        stream.set_nodelay(true).context(ConnectSnafu)?;
         let mut builder = http1::Builder::new();
         builder.max_buf_size(BUFFER);
-        let (sender, driver) = builder.handshake(TokioIo::new(stream)).await.context(EndedSnafu)?;
+        let (sender, driver) =
+            builder.handshake(TokioIo::new(stream)).await.context(InterruptedSnafu)?;
         let task = tokio::task::spawn_local(async move {
             // How it ends is told to whoever waits for an answer on it.
             let _ = driver.await;
--- a/components/outbound/src/fault.rs
+++ b/components/outbound/src/error.rs
@@ -7,16 +7,16 @@
 /// Why a request got no answer, or no whole one.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub enum Fault {
+pub enum Error {
     /// The request can't be written as HTTP; nothing was sent.
     #[snafu(display("the request can't be written: {source}"))]
-    Unwritable {
+    InvalidRequest {
         /// What is wrong with it.
         source: http::Error,
     },
     /// No connection could be opened; nothing was sent.
     #[snafu(display("no connection: {source}"))]
-    NoConnection {
+    Connect {
         /// What the system says.
         source: std::io::Error,
     },
@@ -25,23 +25,23 @@
     Timeout,
     /// The connection ended before the answer was whole.
     #[snafu(display("the connection ended: {source}"))]
-    Ended {
+    Interrupted {
         /// What the HTTP library says.
         source: hyper::Error,
     },
 }
 
-impl Fault {
+impl Error {
     /// Whether the host says that nobody listens at the address.
-    pub fn is_refusal(&self) -> bool {
-        matches!(self, Self::NoConnection { source } if source.kind() == ErrorKind::ConnectionRefused)
+    pub fn is_connection_refused(&self) -> bool {
+        matches!(self, Self::Connect { source } if source.kind() == ErrorKind::ConnectionRefused)
     }
 
     /// Whether any byte of the request may have reached the upstream.
     pub fn may_have_been_sent(&self) -> bool {
         match self {
-            Self::Unwritable { .. } | Self::NoConnection { .. } | Self::Timeout => false,
-            Self::Ended { .. } => true,
+            Self::InvalidRequest { .. } | Self::Connect { .. } | Self::Timeout => false,
+            Self::Interrupted { .. } => true,
         }
     }
 }
--- a/components/outbound/tests/client.rs
+++ b/components/outbound/tests/client.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use nix::sys::socket::{setsockopt, sockopt};
-use outbound::{Client, Fault, Request};
+use outbound::{Client, Error, Request};
 use tokio::task::LocalSet;
 
 const KEEP: Duration = Duration::from_secs(8);
@@ -90,7 +90,7 @@
 }
 
 /// The status and body of an answer.
-async fn ask(client: &Client, address: &Arc<str>) -> Result<(u16, String), Fault> {
+async fn ask(client: &Client, address: &Arc<str>) -> Result<(u16, String), Error> {
     let mut answer = client.send(address.clone(), get("/x"), false).await?;
     let mut body = Vec::new();
     while let Some(part) = answer.next().await {
--- a/components/process/src/lib.rs
+++ b/components/process/src/lib.rs
@@ -4,10 +4,10 @@
 mod bind;
 mod client;
 mod hangup;
-mod stop;
+mod shutdown;
 
 pub use announce::announce;
 pub use bind::{Error, bind};
 pub use client::{CONNECT_TIMEOUT, client};
 pub use hangup::Hangup;
-pub use stop::Stop;
+pub use shutdown::Shutdown;
--- a/components/process/src/stop.rs
+++ b/components/process/src/shutdown.rs
@@ -10,25 +10,25 @@
 enum Stage {
     #[default]
     Running,
-    Asked,
+    Requested,
     Done,
 }
 
 /// The stop of one process, shared by its threads.
 #[derive(Clone, Debug)]
-pub struct Stop {
+pub struct Shutdown {
     stage: Arc<watch::Sender<Stage>>,
 }
 
-impl Stop {
+impl Shutdown {
     /// A process that runs.
     pub fn new() -> Self {
         Self { stage: Arc::new(watch::Sender::new(Stage::Running)) }
     }
 
     /// Asks the process to finish what is in flight and stop.
-    pub fn ask(&self) {
-        self.raise(Stage::Asked);
+    pub fn request(&self) {
+        self.raise(Stage::Requested);
     }
 
     /// Says that nothing is in flight any more.
@@ -37,13 +37,13 @@
     }
 
     /// Whether a stop was asked for.
-    pub fn is_asked(&self) -> bool {
-        *self.stage.borrow() >= Stage::Asked
+    pub fn is_requested(&self) -> bool {
+        *self.stage.borrow() >= Stage::Requested
     }
 
     /// Waits until a stop is asked for.
-    pub async fn asked(&self) {
-        self.reached(Stage::Asked).await;
+    pub async fn requested(&self) {
+        self.reached(Stage::Requested).await;
     }
 
     /// Waits until nothing is in flight any more.
@@ -69,7 +69,7 @@
     /// # Errors
     ///
     /// The signals can't be listened for.
-    pub async fn signalled() -> std::io::Result<()> {
+    pub async fn wait_for_signal() -> std::io::Result<()> {
         let mut term = signal(SignalKind::terminate())?;
         let mut int = signal(SignalKind::interrupt())?;
         tokio::select! {
@@ -80,7 +80,7 @@
     }
 }
 
-impl Default for Stop {
+impl Default for Shutdown {
     fn default() -> Self {
         Self::new()
     }
--- a/components/router/src/announcement.rs
+++ b/components/router/src/announcement.rs
@@ -39,7 +39,7 @@
 pub(crate) async fn run(core: Rc<Core>) {
     let mut written = None;
     let mut poller_changes = core.fleet().poller_changes();
-    while !core.stop.is_asked() {
+    while !core.stop.is_requested() {
         if core.fleet().is_poller() {
             if let Err(error) = renew(&core, &mut written).await {
                 debug!("announcement failed", kv: { reason = error.to_string() });
@@ -50,7 +50,7 @@
         let pause = if written.is_some() { UPDATE_INTERVAL } else { RETRY_INTERVAL };
         tokio::select! {
             () = tokio::time::sleep(pause.duration()) => {}
-            () = core.stop.asked() => {}
+            () = core.stop.requested() => {}
             _ = poller_changes.changed() => {}
             () = core.store_restored.notified() => {
                 written = None;
@@ -74,7 +74,7 @@
 /// rate.
 async fn wait_for_offset(core: &Core) {
     let offset = Millis(placement::key("", &core.settings.name) % REANNOUNCE_SPREAD.0);
-    let _ = tokio::time::timeout(offset.duration(), core.stop.asked()).await;
+    let _ = tokio::time::timeout(offset.duration(), core.stop.requested()).await;
 }
 
 /// Renews the lease when due, and writes the announcement if it has changed or its lease has
--- a/components/router/src/background.rs
+++ b/components/router/src/background.rs
@@ -53,7 +53,7 @@
         }
         tasks.spawn_local(watch_settings(core.clone()));
         tasks.spawn_local(send_directory_updates(core.clone(), directory_updates));
-        core.stop.asked().await;
+        core.stop.requested().await;
         tokio::time::sleep(Duration::from_millis(core.settings.drain_notice_ms)).await;
         let until = core.clock.now() + Millis(core.settings.drain_ms);
         core.apply(Event::Drain { until });
@@ -70,7 +70,7 @@
     loop {
         let event = match hosts.fetch().await {
             Ok(Update { entries: Some(entries), bytes }) => {
-                core.metrics.control("hosts", bytes);
+                core.metrics.record_control("hosts", bytes);
                 Event::Hosts(entries.into_iter().map(to_host).collect())
             }
             Ok(Update { entries: None, .. }) | Err(_) => Event::Tick,
@@ -154,7 +154,7 @@
     while let Some(effect) = directory_updates.recv().await {
         let Effect::UpdateDirectory { upstream, address, update } = effect else { continue };
         let frame = Frame::DirectoryUpdate(update);
-        core.metrics.control("note", wire::encode(&frame).map_or(0, |frame| frame.len()));
+        core.metrics.record_control("note", wire::encode(&frame).map_or(0, |frame| frame.len()));
         let exchange = async {
             if let Ok((mut call, _)) = core.links.call(&upstream, &address, &frame).await {
                 let _ = call.next().await;
--- a/components/router/src/core.rs
+++ b/components/router/src/core.rs
@@ -41,7 +41,7 @@
     pub settings: Arc<settings::Router>,
     pub clock: Clock,
     pub links: Links,
-    pub stop: process::Stop,
+    pub stop: process::Shutdown,
     /// The latest settings.
     pub reload: watch::Receiver<settings::Router>,
     pub store: Option<store::Store>,
@@ -75,7 +75,7 @@
         settings: Arc<settings::Router>,
         plan: Option<Arc<Plan>>,
         clients: Option<Clients>,
-        stop: process::Stop,
+        stop: process::Shutdown,
         reload: watch::Receiver<settings::Router>,
     ) -> (Rc<Self>, Receiver<Effect>) {
         let clock = Clock::new();
@@ -152,12 +152,12 @@
                 false
             }
             Effect::Leaving { upstream } => {
-                self.metrics.belief("upstream_leaves");
+                self.metrics.record_change("upstream_leaves");
                 report::log_leaving(upstream);
                 false
             }
             Effect::Backoff { upstream, duration } => {
-                self.metrics.belief("upstream_rests");
+                self.metrics.record_change("upstream_rests");
                 report::log_backoff(upstream, *duration);
                 false
             }
@@ -172,7 +172,7 @@
                 false
             }
             Effect::ReportCleared(clearing) => {
-                self.metrics.belief("work_cleared");
+                self.metrics.record_change("work_cleared");
                 report::log_cleared(clearing.fingerprint);
                 self.broadcast_cleared(clearing.fingerprint);
                 self.crashes.clear(clearing);
@@ -187,7 +187,7 @@
                 false
             }
             Effect::Quarantine { fingerprint, duration } => {
-                self.metrics.belief("work_held_back");
+                self.metrics.record_change("work_held_back");
                 report::log_quarantine(*fingerprint, *duration);
                 false
             }
@@ -221,7 +221,7 @@
         let peers = self.peers().filter(|_| self.settings.routing.mechanisms.hints);
         if let Some(peers) = peers {
             let bytes = peers.broadcast(Frame::WarmPrefixes(warm.clone()), self.clock.now());
-            self.metrics.control("warm", bytes);
+            self.metrics.record_control("warm", bytes);
         }
     }
 
@@ -232,7 +232,7 @@
             let fingerprints = crashes.iter().map(|crash| crash.fingerprint).collect();
             let crash = UpstreamCrash { upstream: first.upstream.clone(), fingerprints };
             let bytes = peers.broadcast(Frame::UpstreamCrash(crash), self.clock.now());
-            self.metrics.control("ended", bytes);
+            self.metrics.record_control("ended", bytes);
         }
     }
 
@@ -240,7 +240,7 @@
     fn broadcast_cleared(&self, fingerprint: u64) {
         if let Some(peers) = self.peers() {
             let bytes = peers.broadcast(Frame::Cleared(vec![fingerprint]), self.clock.now());
-            self.metrics.control("cleared", bytes);
+            self.metrics.record_control("cleared", bytes);
         }
     }
 
@@ -287,7 +287,7 @@
     /// Whether callers should reconnect, so that another router serves them.
     pub(crate) fn should_reconnect(&self, kind: Kind) -> bool {
         let has_current_peer = || self.state.borrow().has_current_peer(self.clock.now());
-        self.stop.is_asked() || (kind == Kind::StaleConfiguration && has_current_peer())
+        self.stop.is_requested() || (kind == Kind::StaleConfiguration && has_current_peer())
     }
 
     /// Whether upstreams are reached directly.
@@ -327,10 +327,10 @@
     pub(crate) fn record(&self, decision: &Arc<Decision>, trace: &str) {
         let error: Option<&'static str> = decision.error.map(Into::into);
         let outcome: &'static str = decision.outcome.into();
-        self.metrics.request(outcome, error);
-        self.metrics.attempts(decision.tries.len());
+        self.metrics.record_request(outcome, error);
+        self.metrics.record_attempts(decision.tries.len());
         if let Some(standing) = decision.standing {
-            self.metrics.standing(&decision.pool, standing.rank.name());
+            self.metrics.record_share_refusal(&decision.pool, standing.rank.name());
         }
         report::log_request(decision, trace);
         self.decisions.borrow_mut().insert(decision.clone());
@@ -339,7 +339,7 @@
     /// Counts and logs a request that was refused before routing.
     pub(crate) fn reject(&self, request: &str, kind: Kind) {
         let error: &'static str = kind.into();
-        self.metrics.request(kind.row().outcome.into(), Some(error));
+        self.metrics.record_request(kind.row().outcome.into(), Some(error));
         let state = self.state.borrow();
         let generation = state.plan().map_or(0, |plan| plan.generation());
         report::log_refusal(
@@ -364,7 +364,7 @@
     }
 
     pub(crate) fn is_ready(&self) -> bool {
-        !self.stop.is_asked() && self.state.borrow().is_ready(self.clock.now())
+        !self.stop.is_requested() && self.state.borrow().is_ready(self.clock.now())
     }
 
     pub(crate) fn owner(&self, workspace: &str, kind: &str, seed: &str) -> Option<Owner> {
@@ -391,7 +391,7 @@
             "name": &*self.settings.name,
             "generation": state.plan().map_or(0, |plan| plan.generation()),
             "in_flight": state.in_flight(),
-            "draining": self.stop.is_asked(),
+            "draining": self.stop.is_requested(),
             "evacuated": state.evacuated().collect::<Vec<_>>(),
             "upstreams": upstreams,
             "short": saturation::snapshot(&state, now),
@@ -418,6 +418,6 @@
 fn tracer(settings: &settings::Router) -> Tracer {
     match &settings.traces_url {
         Some(url) => Tracer::new(SERVICE, &settings.name, url),
-        None => Tracer::off(),
+        None => Tracer::disabled(),
     }
 }
--- a/components/router/src/crashes.rs
+++ b/components/router/src/crashes.rs
@@ -110,9 +110,9 @@
 
 /// Opens a connection, which the next request reuses.
 async fn check_upstream(core: Rc<Core>, upstream: Arc<str>, address: Arc<str>) {
-    let check = match core.client().open(&address).await {
+    let check = match core.client().preconnect(&address).await {
         Ok(()) => Liveness::Alive,
-        Err(error) if error.is_refusal() => Liveness::Dead,
+        Err(error) if error.is_connection_refused() => Liveness::Dead,
         Err(_) => Liveness::Unknown,
     };
     info!("upstream checked", kv: { upstream = &*upstream, found = format!("{check:?}") });
--- a/components/router/src/direct.rs
+++ b/components/router/src/direct.rs
@@ -9,7 +9,7 @@
 use edge::{Dispatch, Feedback};
 use errors::Kind;
 use events::Splitter;
-use outbound::{Answer, Fault};
+use outbound::{Answer, Error};
 use routing::{Attempt, Event, Reply};
 use wire::{Chunk, End, Head, Refused, Status};
 
@@ -31,7 +31,7 @@
     pub sent: bool,
 }
 
-type PendingAnswer = Pin<Box<dyn Future<Output = Result<Answer, Fault>>>>;
+type PendingAnswer = Pin<Box<dyn Future<Output = Result<Answer, Error>>>>;
 
 enum Stage {
     /// Waiting for the head of the response.
@@ -102,7 +102,7 @@
             ready: VecDeque::new(),
             head: None,
             buffer: BytesMut::new(),
-            events: template.events.then(|| Splitter::after(progress.event)),
+            events: template.events.then(|| Splitter::resume_after(progress.event)),
             progress,
             queued_progress: progress,
         }
@@ -191,7 +191,7 @@
         }
     }
 
-    fn handle_part(&mut self, part: Option<Result<Bytes, Fault>>) -> Result<(), ConnectionFailure> {
+    fn handle_part(&mut self, part: Option<Result<Bytes, Error>>) -> Result<(), ConnectionFailure> {
         match part {
             Some(Ok(bytes)) => self.handle_bytes(&bytes),
             Some(Err(_)) => {
@@ -208,7 +208,7 @@
         if let Some(events) = &mut self.events {
             let complete = events.push(bytes).map_err(|_| ConnectionFailure { sent: true });
             let complete = complete.inspect_err(|_| self.stage = Stage::Done)?;
-            let last = self.events.as_ref().and_then(Splitter::last);
+            let last = self.events.as_ref().and_then(Splitter::last_id);
             self.forward(complete, last);
             return Ok(());
         }
--- a/components/router/src/factory.rs
+++ b/components/router/src/factory.rs
@@ -25,7 +25,7 @@
 pub(crate) struct CoreFactory {
     pub settings: Arc<settings::Router>,
     pub connect: Connect,
-    pub stop: process::Stop,
+    pub stop: process::Shutdown,
     pub reload: watch::Receiver<settings::Router>,
 }
 
--- a/components/router/src/feed.rs
+++ b/components/router/src/feed.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use clock::{Millis, Sleep};
+use clock::{Millis, Suspension};
 use edge::{Batch, Era, Error, Revision, Store};
 use fleet::{Freshness, Source};
 use routing::{Event, Listing, MISSING_TTL};
@@ -72,11 +72,11 @@
     };
     feed.core.apply(Event::RouterCount(ASSUMED_ROUTERS));
     feed.choose_role().await;
-    let mut sleep = Sleep::new(feed.core.clock);
+    let mut suspension = Suspension::new(feed.core.clock);
     loop {
-        let suspended = sleep.passed();
+        let suspended = suspension.take_elapsed();
         if suspended >= MIN_LOGGED_SUSPENSION {
-            feed.core.metrics.belief("host_suspended");
+            feed.core.metrics.record_change("host_suspended");
             warn!("the host was suspended", kv: { ms = suspended.0 });
         }
         let pause = feed.step(interval).await;
@@ -126,7 +126,7 @@
         self.expire(now);
         self.update_routers();
         let is_shared = self.core.settings.routing.mechanisms.shared_looks;
-        if is_shared && !self.core.stop.is_asked() && self.core.fleet().update_role(now) {
+        if is_shared && !self.core.stop.is_requested() && self.core.fleet().update_role(now) {
             self.log_poller_role();
         }
         match self.core.fleet().next_source(now) {
@@ -139,7 +139,7 @@
     /// Logs and counts whether this router polls the store.
     fn log_poller_role(&self) {
         let follows = self.core.fleet().is_poller();
-        self.core.metrics.belief(if follows { "follows_store" } else { "stands_down" });
+        self.core.metrics.record_change(if follows { "follows_store" } else { "stands_down" });
         info!("store polling started or stopped", kv: { follows });
     }
 
@@ -227,7 +227,7 @@
     fn handle_restored_store(&mut self, revision: Revision) {
         let (era, revision) = (revision.era.0, revision.number);
         warn!("the store came back from an older copy", kv: { era, revision });
-        self.core.metrics.belief("store_older");
+        self.core.metrics.record_change("store_older");
         let now = self.core.clock.now();
         self.listing.begin_restored_recovery(now);
         self.incomplete_until = Some(now + MISSING_TTL);
--- a/components/router/src/feed/facts.rs
+++ b/components/router/src/feed/facts.rs
@@ -166,7 +166,7 @@
     fn drop_unreadable(&mut self, entry: &Arc<str>, reason: &str, deferred: &mut Deferred) {
         deferred.changed |= self.listing.drop_unreadable(entry);
         if self.unreadable.len() < MAX_LOGGED_UNREADABLE && self.unreadable.insert(entry.clone()) {
-            self.core.metrics.belief("entry_unreadable");
+            self.core.metrics.record_change("entry_unreadable");
             warn!("an entry can't be read", kv: { key = &**entry, reason });
         }
     }
@@ -203,11 +203,11 @@
             return;
         }
         for domain in self.evacuated.difference(&self.applied_evacuated) {
-            self.core.metrics.belief("domain_left");
+            self.core.metrics.record_change("domain_left");
             info!("failure domain evacuated", kv: { domain = &**domain, revision });
         }
         for domain in self.applied_evacuated.difference(&self.evacuated) {
-            self.core.metrics.belief("domain_taken_back");
+            self.core.metrics.record_change("domain_taken_back");
             info!("failure domain restored", kv: { domain = &**domain, revision });
         }
         self.applied_evacuated.clone_from(&self.evacuated);
@@ -217,7 +217,7 @@
     /// Passes cold upstreams to the reducer.
     fn mark_cold(&self, cold: Vec<(Arc<str>, Millis)>) {
         for (upstream, remaining) in cold {
-            self.core.metrics.belief("upstream_cold");
+            self.core.metrics.record_change("upstream_cold");
             info!("upstream is cold", kv: { upstream = &*upstream, ms = remaining.0 });
             self.core.apply(Event::Cold { upstream, remaining });
         }
--- a/components/router/src/hints.rs
+++ b/components/router/src/hints.rs
@@ -69,7 +69,7 @@
         }
         rounds = 0;
         let bytes = peers.broadcast(Frame::Loads(loads.clone()), core.clock.now());
-        core.metrics.control("loads", bytes);
+        core.metrics.record_control("loads", bytes);
         last_sent = loads;
     }
 }
@@ -83,14 +83,14 @@
         return;
     }
     let bytes = peers.broadcast(Frame::Observations(observations), core.clock.now());
-    core.metrics.control("heard", bytes);
+    core.metrics.record_control("heard", bytes);
 }
 
 fn publish_outcomes(core: &Core, peers: &Peers) {
     let outcomes = core.take_outcomes();
     if !outcomes.is_empty() {
         let bytes = peers.broadcast(Frame::Outcomes(outcomes), core.clock.now());
-        core.metrics.control("outcomes", bytes);
+        core.metrics.record_control("outcomes", bytes);
     }
 }
 
@@ -98,7 +98,7 @@
     let delays = core.take_delays();
     if !delays.is_empty() {
         let bytes = peers.broadcast(Frame::Delays(delays), core.clock.now());
-        core.metrics.control("delays", bytes);
+        core.metrics.record_control("delays", bytes);
     }
 }
 
@@ -106,7 +106,7 @@
     let paces = core.take_paces();
     if !paces.is_empty() {
         let bytes = peers.broadcast(Frame::Paces(paces), core.clock.now());
-        core.metrics.control("paces", bytes);
+        core.metrics.record_control("paces", bytes);
     }
 }
 
@@ -114,7 +114,7 @@
 fn publish_demands(core: &Core, peers: &Peers) {
     for demands in core.demands() {
         let bytes = peers.broadcast(Frame::Demands(demands), core.clock.now());
-        core.metrics.control("demands", bytes);
+        core.metrics.record_control("demands", bytes);
     }
 }
 
@@ -139,7 +139,7 @@
         tokio::time::sleep(COLLECT_DELAY.duration()).await;
         let now = core.clock.now();
         let bytes = peers.flush(&core.fleet().neighbours(now), now);
-        core.metrics.control("spread", bytes);
+        core.metrics.record_control("spread", bytes);
     }
 }
 
--- a/components/router/src/ingress.rs
+++ b/components/router/src/ingress.rs
@@ -142,7 +142,7 @@
 
 /// Closes connections during a drain, so that callers reconnect to another router.
 fn close_if_stopping(core: &Core, builder: &mut HttpResponseBuilder) {
-    if core.stop.is_asked() {
+    if core.stop.is_requested() {
         builder.force_close();
     }
 }
--- a/components/router/src/permits.rs
+++ b/components/router/src/permits.rs
@@ -198,7 +198,7 @@
     fn step(&self, core: &Core) {
         let now = core.clock.now();
         for (number, answer) in self.expire(core, now) {
-            core.metrics.belief("place_unanswered");
+            core.metrics.record_change("place_unanswered");
             self.resolve(number, answer);
         }
         let due: Vec<Claims> = self
@@ -267,7 +267,7 @@
             }
             let owned = owned.entry(claims.pool.clone()).or_insert_with(|| {
                 info!("pool is saturated", kv: { pool = &*claims.pool });
-                core.metrics.belief("pool_short");
+                core.metrics.record_change("pool_short");
                 let issuer = Issuer::new(core.settings.routing.places, now);
                 Owned {
                     issuer,
@@ -309,7 +309,7 @@
             self.receive_saturation(core, &saturation);
             let bytes =
                 core.peers().map_or(0, |peers| peers.broadcast(Frame::Saturated(saturation), now));
-            core.metrics.control("short", bytes);
+            core.metrics.record_control("short", bytes);
         }
         let mut verdicts: BTreeMap<Arc<str>, Vec<Verdict>> = BTreeMap::new();
         for decision in decisions {
@@ -347,7 +347,7 @@
 
 fn send(core: &Core, frame: &Frame, address: SocketAddr, kind: &'static str) {
     let bytes = core.peers().map_or(0, |peers| peers.send(frame, address));
-    core.metrics.control(kind, bytes);
+    core.metrics.record_control(kind, bytes);
 }
 
 /// Whether a message reports that a pool became saturated.
@@ -360,14 +360,14 @@
         (&*decision.router, &*decision.workspace, decision.waited.0);
     match &decision.state {
         ClaimState::Granted(upstream) => {
-            core.metrics.belief("place_granted");
+            core.metrics.record_change("place_granted");
             info!("permit granted", kv: {
                 pool = &**pool, router, number = decision.number, workspace,
                 upstream = &**upstream, waited_ms,
             });
         }
         ClaimState::Refused(back_ms) => {
-            core.metrics.belief("place_refused");
+            core.metrics.record_change("place_refused");
             info!("permit refused", kv: {
                 pool = &**pool, router, number = decision.number, workspace,
                 waited_ms, back_ms = *back_ms,
--- a/components/router/src/query_server.rs
+++ b/components/router/src/query_server.rs
@@ -131,7 +131,7 @@
         waited_ms: received_at.until(now).0,
         confirmation_age_ms: core.confirmation_age_ms(),
     };
-    core.metrics.control("told", facts.len());
+    core.metrics.record_control("told", facts.len());
     send_changes(sink, head, facts).await
 }
 
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -158,7 +158,9 @@
     async fn carry_out(&mut self, effect: Effect) -> Option<Step> {
         match effect {
             Effect::Head(head) => {
-                self.core.metrics.first_token(self.arrived_at.until(self.core.clock.now()).0);
+                self.core
+                    .metrics
+                    .record_first_token(self.arrived_at.until(self.core.clock.now()).0);
                 return Some(Step::Head(head, self.upstream.clone()));
             }
             Effect::Relay(bytes) => return Some(Step::Bytes(bytes)),
@@ -170,7 +172,7 @@
             Effect::Send(attempt) => self.send(attempt).await,
             Effect::Claim { pool, claim } => self.claim(&pool, claim).await,
             Effect::UpdateDirectory { .. } => self.core.queue_update(effect),
-            Effect::CloseIdle { address } => self.core.client().forget(&address),
+            Effect::CloseIdle { address } => self.core.client().close_idle(&address),
             Effect::Postpone(backoff) => {
                 self.backoff_until = Some(Instant::now() + backoff.duration());
             }
@@ -265,7 +267,7 @@
                 }
             }
             Ok(Err(error)) => {
-                self.apply(Event::ConnectionFailed { id, attempt, sent: !error.nothing_sent() });
+                self.apply(Event::ConnectionFailed { id, attempt, sent: !error.is_unsent() });
             }
             Err(_) => self.handle_timeout(),
         }
--- a/components/router/src/server.rs
+++ b/components/router/src/server.rs
@@ -35,7 +35,7 @@
     settings: Arc<settings::Router>,
     address: SocketAddr,
     server: Server,
-    stop: process::Stop,
+    stop: process::Shutdown,
     reload: watch::Sender<settings::Router>,
 }
 
@@ -49,7 +49,7 @@
         let plan = background::read_plan(&settings.intents)?;
         let settings = Arc::new(settings);
         let (listener, address) = process::bind(&settings.listen).context(BindSnafu)?;
-        let stop = process::Stop::new();
+        let stop = process::Shutdown::new();
         let reload = watch::Sender::new((*settings).clone());
         let (shared, stop_handle, changes) = (settings.clone(), stop.clone(), reload.subscribe());
         let factory = async move || {
@@ -84,7 +84,7 @@
         let settings = Arc::new(settings);
         let (listener, address) = process::bind(&settings.listen).context(BindSnafu)?;
         let (operators, _) = process::bind(operators).context(BindSnafu)?;
-        let stop = process::Stop::new();
+        let stop = process::Shutdown::new();
         let reload = watch::Sender::new((*settings).clone());
         let factory = CoreFactory {
             settings: settings.clone(),
@@ -102,7 +102,7 @@
     }
 
     /// The handle that requests a planned stop.
-    pub fn stop(&self) -> process::Stop {
+    pub fn stop(&self) -> process::Shutdown {
         self.stop.clone()
     }
 
@@ -114,7 +114,7 @@
     /// Serves until a stop was requested and all requests have ended, or the drain timeout has
     /// passed. Returns whether all requests were completed.
     pub async fn run(self) -> bool {
-        self.stop.asked().await;
+        self.stop.requested().await;
         let timeout = self.settings.drain_notice_ms + self.settings.drain_ms;
         let timeout = Duration::from_millis(timeout);
         let finished = tokio::time::timeout(timeout, self.stop.finished()).await.is_ok();
--- a/components/sidecar/src/admin.rs
+++ b/components/sidecar/src/admin.rs
@@ -29,7 +29,7 @@
 pub(crate) struct Pages {
     pub name: Arc<str>,
     pub state: Shared,
-    pub stop: process::Stop,
+    pub stop: process::Shutdown,
     pub metrics: Arc<Metrics>,
 }
 
@@ -89,6 +89,6 @@
 }
 
 async fn drain(pages: web::types::State<Pages>) -> HttpResponse {
-    pages.stop.ask();
+    pages.stop.request();
     HttpResponse::Accepted().body("leaving\n")
 }
--- a/components/sidecar/src/call.rs
+++ b/components/sidecar/src/call.rs
@@ -114,7 +114,7 @@
         match effect {
             Effect::Run { mut open, .. } => {
                 let waited = self.came.elapsed().as_millis();
-                self.core.metrics.queue(u64::try_from(waited).unwrap_or(u64::MAX));
+                self.core.metrics.record_queue_time(u64::try_from(waited).unwrap_or(u64::MAX));
                 open.traceparent.clone_from(&self.traceparent);
                 self.answer = Answer::start(&self.core, &open);
             }
@@ -142,7 +142,7 @@
         let outcome = error.map_or(Outcome::Ran, |kind| kind.row().outcome);
         let error: Option<&'static str> = error.map(Into::into);
         let outcome: &'static str = outcome.into();
-        self.core.metrics.request(outcome, error);
+        self.core.metrics.record_request(outcome, error);
         self.span.set("outcome", outcome);
         let trace = self.traceparent.as_deref().and_then(|it| it.split('-').nth(1));
         info!("call ended", kv: {
--- a/components/sidecar/src/core.rs
+++ b/components/sidecar/src/core.rs
@@ -33,7 +33,7 @@
     pub settings: settings::Sidecar,
     pub clock: Clock,
     pub client: Client,
-    pub stop: process::Stop,
+    pub stop: process::Shutdown,
     pub metrics: Arc<Metrics>,
     pub tracer: Tracer,
     state: Shared,
@@ -48,7 +48,7 @@
     pub(crate) fn new(
         settings: settings::Sidecar,
         client: Client,
-        stop: process::Stop,
+        stop: process::Shutdown,
         metrics: Arc<Metrics>,
         state: Shared,
     ) -> (Self, UnboundedReceiver<(Peer, wire::Report)>) {
@@ -88,7 +88,7 @@
                 return;
             }
             Effect::Drained => {
-                if self.stop.is_asked() {
+                if self.stop.is_requested() {
                     self.stop.finish();
                 }
                 return;
@@ -133,6 +133,6 @@
 fn tracer(settings: &settings::Sidecar) -> Tracer {
     match &settings.traces_url {
         Some(url) => Tracer::new(SERVICE, &settings.name, url),
-        None => Tracer::off(),
+        None => Tracer::disabled(),
     }
 }
--- a/components/sidecar/src/peers.rs
+++ b/components/sidecar/src/peers.rs
@@ -21,7 +21,7 @@
     let Ok(mut hosts) = store::Hosts::new(&core.settings.hosts_url).await else { return };
     loop {
         if let Ok(Update { entries: Some(entries), bytes }) = hosts.fetch().await {
-            core.metrics.control("hosts", bytes);
+            core.metrics.record_control("hosts", bytes);
             take(&core, entries);
         }
         tokio::time::sleep(every).await;
@@ -66,7 +66,7 @@
     let (mut call, _) = links.call(&to.name, &to.address, &frame).await.ok()?;
     match call.next().await {
         Ok(Some(answer @ Frame::Pool(pool))) => {
-            core.metrics.control("report", size(&frame) + size(&answer));
+            core.metrics.record_control("report", size(&frame) + size(&answer));
             Some(pool)
         }
         _ => None,
--- a/components/sidecar/src/server.rs
+++ b/components/sidecar/src/server.rs
@@ -34,7 +34,7 @@
     listener: TcpListener,
     address: SocketAddr,
     admin: admin::Page,
-    stop: process::Stop,
+    stop: process::Shutdown,
     metrics: Arc<Metrics>,
 }
 
@@ -52,7 +52,7 @@
         let incarnation = Clock::new().now().0;
         let state = State::new(settings.admission.clone(), own, incarnation);
         let state = Shared::new(state);
-        let stop = process::Stop::new();
+        let stop = process::Shutdown::new();
         let metrics = Arc::new(Metrics::new(SERVICE));
         let pages = admin::Pages {
             name: settings.name.clone(),
@@ -80,7 +80,7 @@
     }
 
     /// The handle that asks for a planned stop.
-    pub fn stop(&self) -> process::Stop {
+    pub fn stop(&self) -> process::Shutdown {
         self.stop.clone()
     }
 
@@ -106,7 +106,7 @@
         tasks.spawn_local(peers::follow(core.clone()));
         tasks.spawn_local(peers::report(core.clone(), outbox));
         tasks.spawn_local(listen(core.clone(), self.listener));
-        self.stop.asked().await;
+        self.stop.requested().await;
         core.apply(Event::Leave);
         let timeout = Duration::from_millis(core.settings.drain_ms);
         let _ = tokio::time::timeout(timeout, self.stop.finished()).await;
--- a/components/telemetry/src/lib.rs
+++ b/components/telemetry/src/lib.rs
@@ -7,6 +7,6 @@
 mod metrics;
 mod trace;
 
-pub use log::{Level, Logs, Stream, logs};
+pub use log::{Level, LogGuard, Stream, init_logs};
 pub use metrics::Metrics;
 pub use trace::{Span, Tracer};
--- a/components/telemetry/src/log.rs
+++ b/components/telemetry/src/log.rs
@@ -18,23 +18,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stream {
     /// Standard output, where the platform collects them.
-    Output,
+    Stdout,
     /// Standard error, beside what a person reads on standard output.
-    Error,
+    Stderr,
 }
 
 /// The log of a process; the lines that wait are written when it is dropped.
-pub struct Logs {
+pub struct LogGuard {
     _pool: Arc<ThreadPool>,
 }
 
-impl std::fmt::Debug for Logs {
+impl std::fmt::Debug for LogGuard {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.debug_struct("Logs").finish_non_exhaustive()
+        formatter.debug_struct("LogGuard").finish_non_exhaustive()
     }
 }
 
-impl Drop for Logs {
+impl Drop for LogGuard {
     fn drop(&mut self) {
         // The pool finishes what waits when its last user, the logger, is gone.
         if let Ok(silent) = Logger::builder().build() {
@@ -49,11 +49,11 @@
 /// # Errors
 ///
 /// The logger can't be built.
-pub fn logs(level: Level, stream: Stream) -> Result<Logs, spdlog::Error> {
+pub fn init_logs(level: Level, stream: Stream) -> Result<LogGuard, spdlog::Error> {
     let formatter = JsonFormatter::new();
     let stream = match stream {
-        Stream::Output => StdStream::Stdout,
-        Stream::Error => StdStream::Stderr,
+        Stream::Stdout => StdStream::Stdout,
+        Stream::Stderr => StdStream::Stderr,
     };
     let sink = StdStreamSink::builder().std_stream(stream).formatter(formatter).build_arc()?;
     let pool = ThreadPool::builder().capacity(MAX_WAITING).build_arc()?;
@@ -67,5 +67,5 @@
     let filter = LevelFilter::MoreSevereEqual(level);
     let logger = Logger::builder().sink(sink).level_filter(filter).build()?;
     spdlog::set_default_logger(Arc::new(logger));
-    Ok(Logs { _pool: pool })
+    Ok(LogGuard { _pool: pool })
 }
--- a/components/telemetry/src/metrics.rs
+++ b/components/telemetry/src/metrics.rs
@@ -60,7 +60,7 @@
 
     /// Counts a request that ended: `ran`, `not_run` or `unknown`, and the kind
     /// of its error.
-    pub fn request(&self, outcome: &'static str, error: Option<&'static str>) {
+    pub fn record_request(&self, outcome: &'static str, error: Option<&'static str>) {
         self.requests.add(1, &[KeyValue::new("outcome", outcome)]);
         if let Some(kind) = error {
             self.refusals.add(1, &[KeyValue::new("kind", kind)]);
@@ -68,38 +68,38 @@
     }
 
     /// Counts attempts.
-    pub fn attempts(&self, count: usize) {
+    pub fn record_attempts(&self, count: usize) {
         self.attempts.add(count as u64, &[]);
     }
 
     /// Counts a refusal in a `pool` that is short: `below`, `at` or `over` the workspace's share.
-    pub fn standing(&self, pool: &str, standing: &'static str) {
+    pub fn record_share_refusal(&self, pool: &str, standing: &'static str) {
         let pool = KeyValue::new("pool", pool.to_owned());
         self.standings.add(1, &[pool, KeyValue::new("standing", standing)]);
     }
 
     /// Counts control traffic: `hosts`, `report`, `greeting` and so on.
-    pub fn control(&self, kind: &'static str, bytes: usize) {
+    pub fn record_control(&self, kind: &'static str, bytes: usize) {
         self.control.add(bytes as u64, &[KeyValue::new("kind", kind)]);
     }
 
     /// Counts a change of what the process believes: `domain_left`, `upstream_cold` and so on.
-    pub fn belief(&self, kind: &'static str) {
+    pub fn record_change(&self, kind: &'static str) {
         self.beliefs.add(1, &[KeyValue::new("kind", kind)]);
     }
 
     /// Tells how much is held of a kind: `answer_bytes`, `hearers` and so on.
-    pub fn held(&self, kind: &'static str, count: usize) {
+    pub fn set_held(&self, kind: &'static str, count: usize) {
         self.held.record(count as u64, &[KeyValue::new("kind", kind)]);
     }
 
     /// Records the time to an answer's head, in milliseconds.
-    pub fn first_token(&self, ms: u64) {
+    pub fn record_first_token(&self, ms: u64) {
         self.first_token.record(seconds(ms), &[]);
     }
 
     /// Records a wait in the queue, in milliseconds.
-    pub fn queue(&self, ms: u64) {
+    pub fn record_queue_time(&self, ms: u64) {
         self.queue.record(seconds(ms), &[]);
     }
 
--- a/components/telemetry/src/trace.rs
+++ b/components/telemetry/src/trace.rs
@@ -48,7 +48,7 @@
 
 impl Tracer {
     /// A tracer that makes no spans.
-    pub fn off() -> Self {
+    pub fn disabled() -> Self {
         Self(None)
     }
 
@@ -86,7 +86,7 @@
 
 impl Span {
     /// A hop that nobody traces.
-    pub fn none() -> Self {
+    pub fn disabled() -> Self {
         Self(None)
     }
 
--- a/src/bin/silverstack-experiment.rs
+++ b/src/bin/silverstack-experiment.rs
@@ -37,7 +37,7 @@
     }
     let patterns = match patterns(arguments.pattern.as_deref()) {
         Ok(patterns) => patterns,
-        Err(fault) => return cli::fail(NAME, fault, cli::USAGE),
+        Err(fault) => return cli::fail(NAME, fault, cli::EXIT_USAGE),
     };
     let admission = !arguments.no_admission;
     let mechanisms = Mechanisms { admission, ..Mechanisms::default() };
@@ -50,7 +50,7 @@
             println!("{}\n{}", pattern.name(), report.table());
         }
     }
-    ExitCode::from(cli::OK)
+    ExitCode::from(cli::EXIT_OK)
 }
 
 /// The pattern of that name, or all.
--- a/src/bin/silverstack-local.rs
+++ b/src/bin/silverstack-local.rs
@@ -45,9 +45,9 @@
     if arguments.version {
         return cli::version(NAME);
     }
-    let _logs = match telemetry::logs(telemetry::Level::Error, telemetry::Stream::Error) {
+    let _logs = match telemetry::init_logs(telemetry::Level::Error, telemetry::Stream::Stderr) {
         Ok(logs) => logs,
-        Err(fault) => return cli::fail(NAME, fault, cli::FAILED),
+        Err(fault) => return cli::fail(NAME, fault, cli::EXIT_FAILED),
     };
     let size = Size {
         routers: arguments.routers.max(1),
@@ -56,21 +56,25 @@
     };
     let fleet = match Fleet::start(size).await {
         Ok(fleet) => fleet,
-        Err(fault) => return cli::fail(NAME, fault, cli::FAILED),
+        Err(fault) => return cli::fail(NAME, fault, cli::EXIT_FAILED),
     };
     let summary = local::run(&fleet, arguments.chats, arguments.turns, !arguments.quiet).await;
     println!("{summary}");
     if arguments.stay {
-        println!("serving; try:\n{}", example(&fleet.routers()[0]));
-        if let Err(fault) = process::Stop::signalled().await {
-            return cli::fail(NAME, fault, cli::FAILED);
+        println!("serving; try:\n{}", example(&fleet.router_urls()[0]));
+        if let Err(fault) = process::Shutdown::wait_for_signal().await {
+            return cli::fail(NAME, fault, cli::EXIT_FAILED);
         }
     }
     let cut = fleet.stop().await;
     if cut > 0 {
-        return cli::fail(NAME, format!("{cut} requests were cut by the stop"), cli::CUT);
+        return cli::fail(
+            NAME,
+            format!("{cut} requests were cut by the stop"),
+            cli::EXIT_INTERRUPTED,
+        );
     }
-    ExitCode::from(if summary.is_clean() { cli::OK } else { cli::FAILED })
+    ExitCode::from(if summary.is_clean() { cli::EXIT_OK } else { cli::EXIT_FAILED })
 }
 
 fn example(url: &str) -> String {
--- a/src/bin/silverstack-router.rs
+++ b/src/bin/silverstack-router.rs
@@ -30,7 +30,7 @@
 }
 
 async fn on_own_settings() -> ExitCode {
-    let ((settings, path), _logs) = match cli::begin::<settings::Router>(NAME) {
+    let ((settings, path), _logs) = match cli::start::<settings::Router>(NAME) {
         Ok(begun) => begun,
         Err(code) => return code,
     };
@@ -41,18 +41,18 @@
             process::announce(&[("listen", router.address().to_string())]);
             serve(router).await
         }
-        Err(fault) => cli::fail(NAME, fault, cli::USAGE),
+        Err(fault) => cli::fail(NAME, fault, cli::EXIT_USAGE),
     }
 }
 
 async fn on_platform(path: &Path) -> ExitCode {
     let read_first = |named: Option<&Path>| read(named.unwrap_or(path));
-    let (settings, _logs) = match cli::begin_with(NAME, Stream::Output, read_first) {
+    let (settings, _logs) = match cli::start_with(NAME, Stream::Stdout, read_first) {
         Ok(settings) => settings,
         Err(code) => return code,
     };
     let Some(direct) = settings.router.direct.clone() else {
-        return cli::fail(NAME, "the settings name no way to upstreams", cli::USAGE);
+        return cli::fail(NAME, "the settings name no way to upstreams", cli::EXIT_USAGE);
     };
     let own = settings.router.clone();
     let mechanisms = serde_json::to_string(&own.routing.mechanisms).unwrap_or_default();
@@ -73,7 +73,7 @@
             cli::reload_on_signal(router.reload(), read);
             serve(router).await
         }
-        Err(fault) => cli::fail(NAME, fault, cli::USAGE),
+        Err(fault) => cli::fail(NAME, fault, cli::EXIT_USAGE),
     }
 }
 
@@ -92,5 +92,5 @@
     cli::stop_on_signal(router.stop());
     let whole = router.run().await;
     info!("router stopped", kv: { whole });
-    ExitCode::from(if whole { cli::OK } else { cli::CUT })
+    ExitCode::from(if whole { cli::EXIT_OK } else { cli::EXIT_INTERRUPTED })
 }
--- a/src/bin/silverstack-sidecar.rs
+++ b/src/bin/silverstack-sidecar.rs
@@ -11,13 +11,13 @@
 
 #[ntex::main]
 async fn main() -> ExitCode {
-    let ((settings, path), _logs) = match cli::begin::<settings::Sidecar>(NAME) {
+    let ((settings, path), _logs) = match cli::start::<settings::Sidecar>(NAME) {
         Ok(begun) => begun,
         Err(code) => return code,
     };
     let sidecar = match Sidecar::bind(settings) {
         Ok(sidecar) => sidecar,
-        Err(fault) => return cli::fail(NAME, fault, cli::USAGE),
+        Err(fault) => return cli::fail(NAME, fault, cli::EXIT_USAGE),
     };
     let (listen, admin) = (sidecar.address().to_string(), sidecar.admin_address().to_string());
     process::announce(&[("listen", listen), ("admin", admin)]);
@@ -26,8 +26,8 @@
     let (reload, _) = watch::channel(sidecar.settings().clone());
     cli::reload_on_signal(reload, move || settings::load(&path).map_err(|it| it.to_string()));
     match sidecar.run().await {
-        Ok(0) => ExitCode::from(cli::OK),
-        Ok(_) => ExitCode::from(cli::CUT),
-        Err(fault) => cli::fail(NAME, fault, cli::FAILED),
+        Ok(0) => ExitCode::from(cli::EXIT_OK),
+        Ok(_) => ExitCode::from(cli::EXIT_INTERRUPTED),
+        Err(fault) => cli::fail(NAME, fault, cli::EXIT_FAILED),
     }
 }
--- a/src/bin/silverstack-standin.rs
+++ b/src/bin/silverstack-standin.rs
@@ -64,15 +64,15 @@
             Hosts::start(listen, Duration::from_millis(arguments.lag)).map(|it| serve(it.server()))
         }
         "store" => Store::start(listen).map(|it| serve(it.server())),
-        other => return cli::fail(NAME, format!("{other} is not a stand-in"), cli::USAGE),
+        other => return cli::fail(NAME, format!("{other} is not a stand-in"), cli::EXIT_USAGE),
     };
     if let Err(fault) = served {
-        return cli::fail(NAME, fault, cli::USAGE);
+        return cli::fail(NAME, fault, cli::EXIT_USAGE);
     }
-    if let Err(fault) = process::Stop::signalled().await {
-        return cli::fail(NAME, fault, cli::FAILED);
+    if let Err(fault) = process::Shutdown::wait_for_signal().await {
+        return cli::fail(NAME, fault, cli::EXIT_FAILED);
     }
-    ExitCode::from(cli::OK)
+    ExitCode::from(cli::EXIT_OK)
 }
 
 fn serve(server: &Server) {
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -5,24 +5,24 @@
 use std::process::ExitCode;
 
 use gumdrop::Options;
-use process::{Hangup, Stop};
+use process::{Hangup, Shutdown};
 use serde::de::DeserializeOwned;
 use settings::Check;
 use spdlog::{error, info};
-use telemetry::{Level, Logs, Stream};
+use telemetry::{Level, LogGuard, Stream};
 use tokio::sync::watch;
 
 /// Everything went well.
-pub const OK: u8 = 0;
+pub const EXIT_OK: u8 = 0;
 
 /// Something failed while running.
-pub const FAILED: u8 = 1;
+pub const EXIT_FAILED: u8 = 1;
 
 /// The command line or the settings are wrong.
-pub const USAGE: u8 = 2;
+pub const EXIT_USAGE: u8 = 2;
 
 /// A planned stop cut requests that were still in flight.
-pub const CUT: u8 = 3;
+pub const EXIT_INTERRUPTED: u8 = 3;
 
 /// A process of the fleet; it serves until SIGTERM or SIGINT asks it to stop.
 #[derive(Debug, Options)]
@@ -47,8 +47,10 @@
 /// # Errors
 ///
 /// The exit code, where the process has nothing more to do.
-pub fn begin<T: Check + DeserializeOwned>(program: &str) -> Result<((T, PathBuf), Logs), ExitCode> {
-    begin_with(program, Stream::Error, |path| {
+pub fn start<T: Check + DeserializeOwned>(
+    program: &str,
+) -> Result<((T, PathBuf), LogGuard), ExitCode> {
+    start_with(program, Stream::Stderr, |path| {
         let Some(path) = path else {
             return Err("--settings FILE is needed".to_owned());
         };
@@ -63,22 +65,23 @@
 /// # Errors
 ///
 /// The exit code, where the process has nothing more to do.
-pub fn begin_with<T>(
+pub fn start_with<T>(
     program: &str,
     stream: Stream,
     read: impl FnOnce(Option<&Path>) -> Result<T, String>,
-) -> Result<(T, Logs), ExitCode> {
+) -> Result<(T, LogGuard), ExitCode> {
     let arguments = Arguments::parse_args_default_or_exit();
     if arguments.version {
         return Err(version(program));
     }
     let settings =
-        read(arguments.settings.as_deref()).map_err(|fault| fail(program, fault, USAGE))?;
-    let level = level(&arguments.log).map_err(|fault| fail(program, fault, USAGE))?;
+        read(arguments.settings.as_deref()).map_err(|fault| fail(program, fault, EXIT_USAGE))?;
+    let level = level(&arguments.log).map_err(|fault| fail(program, fault, EXIT_USAGE))?;
     if arguments.check {
-        return Err(ExitCode::from(OK));
+        return Err(ExitCode::from(EXIT_OK));
     }
-    let logs = telemetry::logs(level, stream).map_err(|fault| fail(program, fault, FAILED))?;
+    let logs =
+        telemetry::init_logs(level, stream).map_err(|fault| fail(program, fault, EXIT_FAILED))?;
     Ok((settings, logs))
 }
 
@@ -107,10 +110,10 @@
 }
 
 /// Asks for a planned stop at the first SIGTERM or SIGINT.
-pub fn stop_on_signal(stop: Stop) {
+pub fn stop_on_signal(shutdown: Shutdown) {
     ntex::rt::spawn(async move {
-        if Stop::signalled().await.is_ok() {
-            stop.ask();
+        if Shutdown::wait_for_signal().await.is_ok() {
+            shutdown.request();
         }
     })
     .detach();
@@ -125,7 +128,7 @@
 /// Prints name and version.
 pub fn version(program: &str) -> ExitCode {
     println!("{program} {}", env!("CARGO_PKG_VERSION"));
-    ExitCode::from(OK)
+    ExitCode::from(EXIT_OK)
 }
 
 /// Reads a log level: `error`, `warn`, `info` or `debug`.
--- a/src/local/fleet.rs
+++ b/src/local/fleet.rs
@@ -91,10 +91,10 @@
     engines: Vec<Engine>,
     services: Vec<PlainService>,
     routers: JoinSet<bool>,
-    router_stops: Vec<process::Stop>,
+    router_stops: Vec<process::Shutdown>,
     router_urls: Vec<String>,
     sidecars: JoinSet<usize>,
-    sidecar_stops: Vec<process::Stop>,
+    sidecar_stops: Vec<process::Shutdown>,
     intents: PathBuf,
 }
 
@@ -132,7 +132,7 @@
     }
 
     /// The base URLs of the routers.
-    pub fn routers(&self) -> &[String] {
+    pub fn router_urls(&self) -> &[String] {
         &self.router_urls
     }
 
@@ -151,11 +151,11 @@
     /// were cut.
     pub async fn stop(mut self) -> usize {
         let mut cut = 0;
-        self.router_stops.iter().for_each(process::Stop::ask);
+        self.router_stops.iter().for_each(process::Shutdown::request);
         while let Some(finished) = self.routers.join_next().await {
             cut += usize::from(!finished.unwrap_or(false));
         }
-        self.sidecar_stops.iter().for_each(process::Stop::ask);
+        self.sidecar_stops.iter().for_each(process::Shutdown::request);
         while let Some(left) = self.sidecars.join_next().await {
             cut += left.unwrap_or(1);
         }
--- a/src/local/traffic.rs
+++ b/src/local/traffic.rs
@@ -29,11 +29,11 @@
     /// Whole and right answers to calls.
     pub calls: usize,
     /// Requests without a whole answer.
-    pub lost: usize,
+    pub failed: usize,
     /// Answers that are not the one to the request.
-    pub crossed: usize,
+    pub mismatched: usize,
     /// Keys that ran more than once.
-    pub doubled: usize,
+    pub run_twice: usize,
     /// Prompt tokens of returning turns.
     pub prompt_tokens: u64,
     /// Those of them that were found in a cache.
@@ -45,7 +45,7 @@
 impl Summary {
     /// Whether every request got its own whole answer, once.
     pub fn is_clean(&self) -> bool {
-        self.lost == 0 && self.crossed == 0 && self.doubled == 0
+        self.failed == 0 && self.mismatched == 0 && self.run_twice == 0
     }
 
     fn median_first_ms(&self) -> u64 {
@@ -60,7 +60,7 @@
         writeln!(
             formatter,
             "{} chat turns and {} calls answered whole; {} lost or cut, {} crossed, {} run twice",
-            self.chats, self.calls, self.lost, self.crossed, self.doubled
+            self.chats, self.calls, self.failed, self.mismatched, self.run_twice
         )?;
         let reuse = 100 * self.cached_tokens / self.prompt_tokens.max(1);
         write!(
@@ -80,11 +80,11 @@
     let mut summary = Summary::default();
     let mut talks = JoinSet::new();
     for place in 0..chats {
-        talks.spawn_local(talk(fleet.routers().to_vec(), place, turns));
+        talks.spawn_local(talk(fleet.router_urls().to_vec(), place, turns));
     }
     let mut calls = JoinSet::new();
     for place in 0..chats * turns {
-        let url = fleet.routers()[place % fleet.routers().len()].clone();
+        let url = fleet.router_urls()[place % fleet.router_urls().len()].clone();
         calls.spawn_local(confirm(url, place));
     }
     while let Some(turns) = talks.join_next().await {
@@ -95,7 +95,7 @@
     while let Some(result) = calls.join_next().await {
         summary.add_call(result.unwrap_or_else(|fault| Err(fault.to_string())), print);
     }
-    summary.doubled = fleet.runs().values().filter(|count| **count > 1).count();
+    summary.run_twice = fleet.runs().values().filter(|count| **count > 1).count();
     summary
 }
 
@@ -122,11 +122,11 @@
                 }
             }
             Ok((answer, false)) => {
-                self.crossed += 1;
+                self.mismatched += 1;
                 println!("{} turn {}: the answer is another's", answer.request, turn + 1);
             }
             Err(fault) => {
-                self.lost += 1;
+                self.failed += 1;
                 println!("turn {}: {fault}", turn + 1);
             }
         }
@@ -141,7 +141,7 @@
                 }
             }
             Err(fault) => {
-                self.lost += 1;
+                self.failed += 1;
                 println!("call: {fault}");
             }
         }
--- a/tests/end_to_end/bad_input.rs
+++ b/tests/end_to_end/bad_input.rs
@@ -146,7 +146,7 @@
     let timeout = Duration::from_secs(1);
     let hello = |key: &str| wire::Hello { key: key.into(), name: "test".into() };
     let wrong = link::Connection::open(&address, hello("a-wrong-link-key"), timeout).await;
-    assert!(matches!(wrong, Err(link::Error::Key)), "{wrong:?}");
+    assert!(matches!(wrong, Err(link::Error::InvalidKey)), "{wrong:?}");
     let (connection, _) =
         link::Connection::open(&address, hello(LINK_KEY), timeout).await.expect("it stands");
     let strange = wire::Frame::Pool(placement::Pool::default());
