--- a/components/edge/src/lib.rs
+++ b/components/edge/src/lib.rs
@@ -1,10 +1,8 @@
-//! What an adapter to a platform implements.
+//! The interface between a router and the platform that it runs on.
 //!
-//! A [`Dialect`] reads and writes the headers of callers and upstreams, a
-//! [`Store`] reads the platform's key-value service. Both speak of the
-//! platform only in this project's own types, so that no other code knows the
-//! platform's names. They are the two edges at which a router calls code that
-//! differs between platforms.
+//! An adapter to a platform implements [`Dialect`], which parses and writes the
+//! headers of callers and upstreams, and [`Store`], which accesses the platform's
+//! key-value store. The signatures of the traits contain no types of a platform.
 
 mod dialect;
 mod store;
@@ -14,26 +12,26 @@
 
 use futures_util::future::LocalBoxFuture;
 
-pub use dialect::{Dialect, Header, Headers, Intake, Load, Part, Sending, Told, find};
-pub use store::{Announcement, Batch, Era, Fact, Fault, Lease, Reading, Revision, Store};
+pub use dialect::{Dialect, Dispatch, Feedback, Header, Headers, Load, Metadata, Prefix, find};
+pub use store::{Announcement, Batch, BatchFuture, Era, Error, Fact, Lease, Revision, Store};
 pub use wire::Peer;
 
-/// Makes the edges on the thread that serves.
-pub type Connect = Arc<dyn Fn() -> LocalBoxFuture<'static, Result<Edges, String>> + Send + Sync>;
+/// Creates the adapter; called on the thread that uses it, as adapters are not `Send`.
+pub type Connect = Arc<dyn Fn() -> LocalBoxFuture<'static, Result<Adapter, String>> + Send + Sync>;
 
-/// The edges of one router.
+/// The adapter of a router to its platform.
 #[derive(Clone)]
-pub struct Edges {
-    /// The headers of callers and upstreams.
+pub struct Adapter {
+    /// Parses and writes the headers of callers and upstreams.
     pub dialect: Rc<dyn Dialect>,
-    /// The key-value service.
+    /// The key-value store.
     pub store: Rc<dyn Store>,
-    /// The path at which the platform asks whether a router is ready.
-    pub ready: &'static str,
+    /// The path of the platform's readiness checks.
+    pub ready_path: &'static str,
 }
 
-impl std::fmt::Debug for Edges {
+impl std::fmt::Debug for Adapter {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.debug_struct("Edges").finish_non_exhaustive()
+        formatter.debug_struct("Adapter").finish_non_exhaustive()
     }
 }
--- a/components/edge/src/store.rs
+++ b/components/edge/src/store.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service, as far as a router follows it.
+//! The platform's key-value store, as far as routers use it.
 
 use std::sync::Arc;
 
@@ -11,135 +11,135 @@
 use snafu::Snafu;
 use wire::Peer;
 
-/// Something that the service holds or that has changed there.
+/// An entry of the store, or a change to one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Fact {
     /// The operator's configuration.
     #[serde(with = "document")]
     Configuration(Box<Document>),
-    /// An upstream has an entry.
+    /// An upstream's entry.
     Upstream {
         /// The upstream.
         host: Host,
-        /// Grows with what the upstream says of itself since its start; a lower one is older.
+        /// Grows with each write of the entry by the same start of the upstream.
         sequence: u64,
-        /// How much longer it is cold.
+        /// The remaining time of its cold start.
         cold: Millis,
     },
     /// An upstream's entry was removed.
-    Gone(Arc<str>),
-    /// An upstream's entry was missing as the service answered again after an outage, in which
-    /// entries lapse: it may come back.
-    Missing(Arc<str>),
+    UpstreamRemoved(Arc<str>),
+    /// An upstream's entry is missing after an outage of the store, in which entries expire; it may
+    /// come back.
+    UpstreamMissing(Arc<str>),
     /// An upstream's entry can't be read.
     UnreadableUpstream {
         /// The entry's name.
         entry: Arc<str>,
-        /// What is wrong.
+        /// Why it can't be read.
         reason: String,
     },
-    /// A failure domain is to take nothing until that is taken back.
+    /// A failure domain takes no requests until it is restored.
     Evacuated(Arc<str>),
-    /// A failure domain may take work again.
+    /// A failure domain takes requests again.
     Restored(Arc<str>),
-    /// All failure domains may take work, but for those that are named after this.
+    /// All failure domains take requests, except those in later facts.
     AllRestored,
-    /// A router of the fleet has announced itself.
+    /// A router's announcement.
     Router(Announcement),
-    /// A router's announcement was removed or has lapsed.
-    RouterGone(Arc<str>),
-    /// The upstreams that a router has remembered.
-    Remembered(Vec<Host>),
-    /// What a router has remembered of warm parts of prompts, as it wrote it.
-    RememberedParts(Bytes),
-    /// Under what work upstreams ended, as a router told.
+    /// A router's announcement was removed or has expired.
+    RouterRemoved(Arc<str>),
+    /// The upstreams that a router has saved for routers that start later.
+    SavedHosts(Vec<Host>),
+    /// The encoded warm prefixes that a router has saved for routers that start later.
+    SavedPrefixes(Bytes),
+    /// The crashes that a router has reported.
     Crashes {
         /// The router.
         router: Arc<str>,
-        /// All that it told.
+        /// All its reported crashes.
         crashes: Vec<Crash>,
     },
-    /// What a router told of that is no longer kept.
-    CrashesGone(Arc<str>),
+    /// A router's reported crashes were removed or have expired.
+    CrashesRemoved(Arc<str>),
     /// An entry that can't be read.
     Unreadable {
         /// Its key.
         key: Arc<str>,
-        /// What is wrong.
+        /// Why it can't be read.
         reason: String,
     },
 }
 
-/// What a router that follows the service tells of itself there, and of those that hear from it.
+/// The entry of a router that polls the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
     /// The router.
     pub router: Peer,
-    /// The routers that hear from it.
+    /// Its direct and indirect subscribers.
     #[serde(default)]
     pub hearers: Vec<Peer>,
-    /// The most routers that it has ever counted.
+    /// The largest fleet size that the router has seen.
     #[serde(default)]
     pub most: usize,
 }
 
 impl Announcement {
-    /// The router and all that hear from it.
-    pub fn all(&self) -> impl Iterator<Item = &Peer> {
+    /// The router and its subscribers.
+    pub fn routers(&self) -> impl Iterator<Item = &Peer> {
         std::iter::once(&self.router).chain(&self.hearers)
     }
 }
 
-/// How often the service has come back from an older copy of itself, as it counts that; zero
-/// where it does not tell.
+/// How often the store has been restored from an older copy; zero if it does not report that.
+///
+/// After a restore, numbers of revisions and leases are issued again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Era(pub u64);
 
-/// A place in the service's history. The numbers of one era are given out again in the next.
+/// A revision of the store's content.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Revision {
-    /// The era in which it was told.
+    /// The era of the store.
     pub era: Era,
-    /// Its number, which grows with each change.
+    /// The number, which grows with each change.
     pub number: u64,
 }
 
-/// A part of what the service told.
+/// The result of one or more calls.
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
-    /// What is held or has changed, in order.
+    /// Entries or changes, in order.
     pub facts: Vec<Fact>,
-    /// The revision that the facts are of.
+    /// The revision up to which all changes are included.
     pub revision: Revision,
-    /// The latest revision, in the same era, that any of them may be of: parts that are read one
-    /// after the other are of different ones. Lower than `revision` where none is later.
+    /// The latest revision, in the same era, that any fact may be of. Above `revision` only if the
+    /// pages of a read differ in revision.
     pub latest: u64,
-    /// How long the answers were, in bytes.
+    /// The total length of the answers in bytes.
     pub bytes: usize,
 }
 
-/// Why the service told nothing.
+/// Why a call of the store failed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-pub enum Fault {
-    /// The changes since the revision that was asked for are no longer kept.
-    #[snafu(display("the history is gone"))]
+pub enum Error {
+    /// The changes since the requested revision are compacted, or the revision is of another era.
+    #[snafu(display("the changes since the revision are not available"))]
     HistoryGone,
-    /// The changes since the revision that was asked for are longer than a look may take.
-    #[snafu(display("the history is long"))]
+    /// The changes since the requested revision are too long for a regular poll.
+    #[snafu(display("the changes since the revision are too long for one poll"))]
     LongHistory,
-    /// The service can't be reached, refused or broke off.
+    /// The store can't be reached, refused the call or closed the connection.
     #[snafu(display("{reason}"))]
     Unavailable {
-        /// What happened.
+        /// The cause.
         reason: String,
     },
 }
 
-/// A call under way.
-pub type Reading<'a> = LocalBoxFuture<'a, Result<Batch, Fault>>;
+/// The pending answer of a call.
+pub type BatchFuture<'a> = LocalBoxFuture<'a, Result<Batch, Error>>;
 
-/// A lease of the service: what is written with it is removed with it. Where the service comes
-/// back from an older copy, its number may become another writer's.
+/// A lease of the store; entries written with it are removed when it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
     /// The era in which it was granted.
@@ -148,61 +148,69 @@
     pub number: u64,
 }
 
-/// The platform's key-value service.
+/// The platform's key-value store.
 pub trait Store {
-    /// All that concerns routers, as it is now. The pages of a long answer are
-    /// not of one revision; the batch has the lowest.
-    fn read(&self) -> Reading<'_>;
-
-    /// What has changed after `revision`, as soon as there is something, or
-    /// nothing after `wait`. The history of an earlier era is gone; one that is long is not read.
-    fn watch(&self, revision: Revision, wait: Millis) -> Reading<'_>;
-
-    /// The same however long it is, without changes to the configuration that others have
-    /// followed where these are many, and without routers whose announcements have ended.
-    fn watch_less(&self, revision: Revision, wait: Millis) -> Reading<'_>;
-
-    /// The routers that announce themselves. Where it may be `old`, it may lack those of the
-    /// last seconds, and costs the service little.
-    fn announced(&self, old: bool) -> LocalBoxFuture<'_, Result<Vec<Announcement>, Fault>>;
+    /// Reads all entries that concern routers. The batch includes all changes up to its revision.
+    fn read(&self) -> BatchFuture<'_>;
+
+    /// Returns the changes after `revision` as soon as there are any, or an empty batch after
+    /// `wait`.
+    ///
+    /// Fails with [`Error::HistoryGone`] if the revision is of an earlier era, and with
+    /// [`Error::LongHistory`] if the changes are too long.
+    fn watch(&self, revision: Revision, wait: Millis) -> BatchFuture<'_>;
+
+    /// Returns the changes of upstreams after `revision`, also beyond the length limit of
+    /// [`Store::watch`], and the current configuration, evacuations, crashes and announcements.
+    /// Removed announcements are left out.
+    ///
+    /// Fails with [`Error::HistoryGone`] like [`Store::watch`].
+    fn catch_up(&self, revision: Revision, wait: Millis) -> BatchFuture<'_>;
+
+    /// Reads the announcements of all routers. With `allow_stale`, the answer may be some seconds old
+    /// and is cheaper for the store.
+    fn announcements(
+        &self,
+        allow_stale: bool,
+    ) -> LocalBoxFuture<'_, Result<Vec<Announcement>, Error>>;
 
-    /// Announces a router; it lasts until the lease ends.
+    /// Writes a router's announcement, which is removed with the lease.
     fn announce(
         &self,
         announcement: Announcement,
         lease: Lease,
-    ) -> LocalBoxFuture<'_, Result<(), Fault>>;
+    ) -> LocalBoxFuture<'_, Result<(), Error>>;
 
-    /// Remembers upstreams for routers that start.
-    fn remember(&self, hosts: Vec<Host>) -> LocalBoxFuture<'_, Result<(), Fault>>;
+    /// Saves upstreams for routers that start later.
+    fn save_hosts(&self, hosts: Vec<Host>) -> LocalBoxFuture<'_, Result<(), Error>>;
 
-    /// Remembers warm parts of prompts for routers that start.
-    fn remember_parts(&self, parts: Bytes) -> LocalBoxFuture<'_, Result<(), Fault>>;
+    /// Saves encoded warm prefixes for routers that start later.
+    fn save_prefixes(&self, prefixes: Bytes) -> LocalBoxFuture<'_, Result<(), Error>>;
 
-    /// A lease that lasts for `ttl` after its last renewal.
-    fn grant(&self, ttl: Millis) -> LocalBoxFuture<'_, Result<Lease, Fault>>;
+    /// Grants a lease that ends `ttl` after its last renewal.
+    fn grant_lease(&self, ttl: Millis) -> LocalBoxFuture<'_, Result<Lease, Error>>;
 
-    /// Tells under what work upstreams ended, in place of what `router` told before; it is kept
-    /// until the lease ends.
-    fn report(
+    /// Writes the crashes that `router` has seen, replacing its previous report. The report is
+    /// removed with the lease.
+    fn report_crashes(
         &self,
         router: Arc<str>,
         crashes: Vec<Crash>,
         lease: Lease,
-    ) -> LocalBoxFuture<'_, Result<(), Fault>>;
+    ) -> LocalBoxFuture<'_, Result<(), Error>>;
 
-    /// Renews a lease; `false` means that it is over, as all of an earlier era are.
-    fn renew(&self, lease: Lease) -> LocalBoxFuture<'_, Result<bool, Fault>>;
+    /// Renews a lease; returns `false` if it has ended, like all leases of an earlier era.
+    fn renew_lease(&self, lease: Lease) -> LocalBoxFuture<'_, Result<bool, Error>>;
 
-    /// Takes the announcement of router `name` back. Its lease is left to lapse: by the time its
-    /// number may be another writer's.
-    fn withdraw(&self, name: Arc<str>) -> LocalBoxFuture<'_, Result<(), Fault>>;
+    /// Removes the announcement of router `name`. Its lease is left to expire: after a restore, the
+    /// lease's number may belong to another writer.
+    fn withdraw(&self, name: Arc<str>) -> LocalBoxFuture<'_, Result<(), Error>>;
 
-    /// The latest era that an answer told of.
+    /// The latest era that an answer contained.
     fn era(&self) -> Era;
 }
 
-/// A configuration between routers: its own format is JSON, in which what is empty is left out.
+/// Serializes a configuration as a JSON string, as `bincode` can't decode omitted fields.
 mod document {
     use intents::Document;
     use serde::de::Error as _;
--- a/components/pace/src/lib.rs
+++ b/components/pace/src/lib.rs
@@ -1,79 +1,78 @@
-//! How fast upstreams are, in general and at the moment.
+//! Estimates how much slower than nominal an upstream processes requests.
 //!
-//! The load pattern: upstreams of one pool differ in speed, and each is slower for moments,
-//! as others work on its host. Upstreams tell how long work takes them, as a percentage of the
-//! usual time; the figure changes many times a second, and a router hears it late. So what was
-//! told last counts for as long as a moment lasts and fades into what the upstream usually tells.
+//! Upstreams report their current processing time as a percentage of the nominal one. Each has a
+//! baseline, from which it deviates for short periods. Reports are delayed relative to these
+//! periods, so the latest report decays quickly toward the baseline.
 
 use clock::Millis;
 
-/// The percentage that an upstream tells when work takes as long as usual.
-pub const AS_USUAL: u32 = 100;
+/// The percentage that an upstream reports at its nominal speed.
+pub const NOMINAL_PERCENT: u32 = 100;
 
-/// The least and the most that is believed, as percentages: what is beyond is no pace but a
-/// fault of the upstream, which the outcomes of its requests tell better.
-const LEAST: u32 = 20;
-const MOST: u32 = 1_000;
+/// The bounds to which reports are clamped. Faults are detected from the outcomes of requests
+/// instead.
+const MIN_PERCENT: u32 = 20;
+const MAX_PERCENT: u32 = 1_000;
 
-/// How much the latest figure counts in the usual one, if it is lower, and if it is higher: the
-/// usual pace is the one between the slow moments.
-const FASTER: f64 = 0.2;
-const SLOWER: f64 = 0.02;
+/// The weight of a report in the baseline if it is faster, and if it is slower. The baseline
+/// follows faster reports sooner, as it is the pace between slow periods.
+const FASTER_WEIGHT: f64 = 0.2;
+const SLOWER_WEIGHT: f64 = 0.02;
 
-/// After how long a figure counts half beside the usual one, in milliseconds. A figure that
-/// changes many times a second says little of the next second.
+/// The half-life of the latest report, in milliseconds.
 const HALF_LIFE_MS: f64 = 200.0;
 
-/// The pace of one upstream, as one router knows it.
+/// How much longer than nominal one upstream takes; above 1 is slower.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pace {
-    told: Option<Told>,
+    estimate: Option<Estimate>,
 }
 
+/// Processing times as multiples of the nominal time.
 #[derive(Clone, Copy, Debug)]
-struct Told {
-    /// The pace between slow moments, as a multiple of the usual time.
-    usual: f64,
-    /// The latest figure, the same way, and when it was told.
+struct Estimate {
+    /// The moving baseline of the reports.
+    baseline: f64,
+    /// The value of the latest report.
     latest: f64,
+    /// When the latest report was made.
     at: Millis,
 }
 
 impl Pace {
-    /// Takes the percentage of the usual time that work took the upstream at `at`; one that was
-    /// told earlier than the latest says nothing.
-    pub fn tell(&mut self, percent: u32, at: Millis) {
+    /// Records a report that was made at `at`, as a percentage of the nominal processing time.
+    /// Ignores it if a later one is known.
+    pub fn record(&mut self, percent: u32, at: Millis) {
         let latest = multiple(percent);
-        let Some(known) = self.told else {
-            self.told = Some(Told { usual: latest, latest, at });
+        let Some(known) = self.estimate else {
+            self.estimate = Some(Estimate { baseline: latest, latest, at });
             return;
         };
         if at < known.at {
             return;
         }
-        let part = if latest < known.usual { FASTER } else { SLOWER };
-        let usual = known.usual + part * (latest - known.usual);
-        self.told = Some(Told { usual, latest, at });
+        let weight = if latest < known.baseline { FASTER_WEIGHT } else { SLOWER_WEIGHT };
+        let baseline = known.baseline + weight * (latest - known.baseline);
+        self.estimate = Some(Estimate { baseline, latest, at });
     }
 
-    /// How many times the usual time work is expected to take at `now`: 1 where nothing was
-    /// told.
+    /// The expected processing time at `now` as a multiple of the nominal one, 1 without reports.
     pub fn factor(&self, now: Millis) -> f64 {
-        let Some(known) = self.told else { return 1.0 };
+        let Some(known) = self.estimate else { return 1.0 };
         #[expect(clippy::cast_precision_loss, reason = "ages stay far below 2^53")]
         let age = known.at.until(now).0 as f64;
-        let fresh = 0.5_f64.powf(age / HALF_LIFE_MS);
-        known.usual + fresh * (known.latest - known.usual)
+        let weight = 0.5_f64.powf(age / HALF_LIFE_MS);
+        known.baseline + weight * (known.latest - known.baseline)
     }
 
-    /// How long an answer takes to begin that would take `base_ms` at the usual pace without a
-    /// queue, and would wait for `wait_ms` beyond that: the time beyond `base_ms`.
-    pub fn beyond_ms(&self, base_ms: f64, wait_ms: f64, now: Millis) -> f64 {
+    /// The expected time to the start of an answer in excess of `base_ms`, which it takes at the
+    /// nominal pace without a queue. `wait_ms` is the wait in the queue at the nominal pace.
+    pub fn expected_wait_ms(&self, base_ms: f64, wait_ms: f64, now: Millis) -> f64 {
         let factor = self.factor(now);
         (factor * (base_ms + wait_ms) - base_ms).max(0.0)
     }
 }
 
 fn multiple(percent: u32) -> f64 {
-    f64::from(percent.clamp(LEAST, MOST)) / f64::from(AS_USUAL)
+    f64::from(percent.clamp(MIN_PERCENT, MAX_PERCENT)) / f64::from(NOMINAL_PERCENT)
 }
--- a/components/routing/src/recovery.rs
+++ b/components/routing/src/recovery.rs
@@ -1,8 +1,8 @@
-//! What happens after failures: retries and their budget, silence, work that is held back, and
-//! planned stops.
+//! Recovery from failures: retries and their budget, silent upstreams, quarantined work, and
+//! draining.
 
 pub(crate) mod budget;
+pub(crate) mod draining;
 pub(crate) mod quarantine;
 pub(crate) mod retry;
 pub(crate) mod silence;
-pub(crate) mod stopping;
--- a/components/routing/src/requests/ending.rs
+++ b/components/routing/src/requests/completion.rs
@@ -1,4 +1,4 @@
-//! How a request ends: refused, failed, given up or finished.
+//! How requests end: rejected, failed, cancelled or completed.
 
 use std::sync::Arc;
 
@@ -7,28 +7,35 @@
 
 use crate::requests::request::Phase;
 use crate::state::State;
-use crate::{Ask, Decision, Effect};
+use crate::{Arrival, Decision, Effect};
 
 impl State {
-    /// Refuses a request on which nothing was decided.
-    pub(crate) fn refuse(&self, ask: &Ask, kind: Kind, detail: &str, now: Millis) -> Vec<Effect> {
-        let held = self.held_back(ask.content, now).filter(|_| kind == Kind::HeldBack);
-        let after = held.map_or_else(|| self.retry_after_ms(kind, now), |left| left.0);
+    /// Rejects a request on arrival.
+    pub(crate) fn reject(
+        &self,
+        arrival: &Arrival,
+        kind: Kind,
+        detail: &str,
+        now: Millis,
+    ) -> Vec<Effect> {
+        let quarantine =
+            self.quarantine_left(arrival.fingerprint, now).filter(|_| kind == Kind::HeldBack);
+        let after = quarantine.map_or_else(|| self.retry_after_ms(kind, now), |left| left.0);
         let decision = Decision {
-            request: ask.request.clone(),
-            workspace: ask.workspace.clone(),
-            kind: ask.kind.clone(),
-            content: ask.content,
-            model: ask.model.clone(),
+            request: arrival.request.clone(),
+            workspace: arrival.workspace.clone(),
+            kind: arrival.kind.clone(),
+            content: arrival.fingerprint,
+            model: arrival.model.clone(),
             intent: None,
             generation: self.generation(),
-            proof_ms: self.proof_ms(now),
+            proof_ms: self.confirmation_age_ms(now),
             status: None,
             came: now,
             answered: None,
             pause: Millis::ZERO,
             ended: now,
-            shared: ask.shared.last().copied(),
+            shared: arrival.prefixes.last().copied(),
             passed: Vec::new(),
             tries: Vec::new(),
             pool: "".into(),
@@ -37,17 +44,18 @@
             error: Some(kind),
             detail: detail.into(),
         };
-        let answer = Effect::answer(kind, &ask.request, after, detail);
+        let answer = Effect::answer(kind, &arrival.request, after, detail);
         vec![Effect::Fail(answer), Effect::Record(Arc::new(decision))]
     }
 
-    /// The caller has gone away.
-    pub(crate) fn quit(&mut self, id: u64, now: Millis) -> Vec<Effect> {
+    /// Handles a caller that closed its connection. A request that was sent may have run, so it
+    /// ends like one whose deadline passed.
+    pub(crate) fn cancel(&mut self, id: u64, now: Millis) -> Vec<Effect> {
         let Some(request) = self.requests.get(&id) else {
             return Vec::new();
         };
         let kind = match request.phase {
-            Phase::Binding | Phase::Waiting | Phase::Claiming => Kind::Cancelled,
+            Phase::Binding | Phase::Postponed | Phase::Claiming => Kind::Cancelled,
             Phase::Sent | Phase::Admitted => Kind::Expired,
             Phase::Answering { .. } => Kind::ExpiredRunning,
         };
@@ -56,13 +64,13 @@
         effects
     }
 
-    /// The time of a request is over.
+    /// Handles a request whose deadline passed.
     pub(crate) fn expire(&mut self, id: u64, now: Millis) -> Vec<Effect> {
         let Some(request) = self.requests.get(&id) else {
             return Vec::new();
         };
         let kind = match request.phase {
-            Phase::Binding | Phase::Waiting | Phase::Claiming => Kind::ExpiredWaiting,
+            Phase::Binding | Phase::Postponed | Phase::Claiming => Kind::ExpiredWaiting,
             Phase::Sent | Phase::Admitted => Kind::Expired,
             Phase::Answering { .. } => Kind::ExpiredRunning,
         };
@@ -71,8 +79,8 @@
         effects
     }
 
-    /// Ends a request and the attempt that is under way.
-    pub(crate) fn cut(&mut self, id: u64, kind: Kind, now: Millis) -> Vec<Effect> {
+    /// Cancels the current attempt and ends the request with an error.
+    pub(crate) fn cancel_and_fail(&mut self, id: u64, kind: Kind, now: Millis) -> Vec<Effect> {
         let mut effects = vec![Effect::Cancel];
         effects.extend(self.fail(id, kind, 0, "", now));
         effects
@@ -80,8 +88,8 @@
 
     /// Ends the request with an error.
     ///
-    /// An earlier attempt that may have run outweighs a later one that did not:
-    /// the answer is the earlier one's.
+    /// If an earlier attempt may have run and the last one did not, the answer has the earlier
+    /// attempt's error.
     pub(crate) fn fail(
         &mut self,
         id: u64,
@@ -94,18 +102,19 @@
             return Vec::new();
         };
         let kind = match kind.row().outcome {
-            Outcome::NotRun => request.uncertain().unwrap_or(kind),
+            Outcome::NotRun => request.uncertain_error().unwrap_or(kind),
             Outcome::Unknown | Outcome::Ran => kind,
         };
         let retry_after_ms = retry_after_ms.max(self.retry_after_ms(kind, now));
-        let answer = Effect::answer(kind, &request.ask.request, retry_after_ms, detail);
-        let first = if request.is_answering() { Effect::Cut(answer) } else { Effect::Fail(answer) };
+        let answer = Effect::answer(kind, &request.arrival.request, retry_after_ms, detail);
+        let first =
+            if request.is_answering() { Effect::Abort(answer) } else { Effect::Fail(answer) };
         let mut effects = vec![first];
         effects.extend(self.close(id, Some(kind), detail, now));
         effects
     }
 
-    /// Takes the request out and records its decision.
+    /// Removes the request and records its decision.
     pub(crate) fn close(
         &mut self,
         id: u64,
@@ -113,8 +122,8 @@
         detail: &str,
         now: Millis,
     ) -> Vec<Effect> {
-        self.release(id);
-        self.give_back(id, error);
+        self.release_load(id);
+        self.release_permit(id, error);
         let Some(mut request) = self.requests.remove(&id) else {
             return Vec::new();
         };
@@ -124,27 +133,27 @@
             last.error = error;
         }
         if error.is_none() {
-            self.note_end(&request, now);
-            self.note_whole(request.ask.content, now);
-            self.durations.note(&request.ask.kind, request.came, now);
+            self.record_completion(&request, now);
+            self.mark_answered(request.arrival.fingerprint, now);
+            self.durations.record(&request.arrival.kind, request.arrived, now);
         }
-        let shared = request.ask.shared.last().copied();
+        let shared = request.arrival.prefixes.last().copied();
         let decision = Decision {
-            request: request.ask.request,
-            workspace: request.ask.workspace,
-            kind: request.ask.kind,
-            content: request.ask.content,
-            model: request.ask.model,
+            request: request.arrival.request,
+            workspace: request.arrival.workspace,
+            kind: request.arrival.kind,
+            content: request.arrival.fingerprint,
+            model: request.arrival.model,
             intent: Some(request.intent),
             generation: request.generation,
             proof_ms: request.proof_ms,
             status: request.status,
-            came: request.came,
-            answered: request.answered,
-            pause: request.pause,
+            came: request.arrived,
+            answered: request.answered_at,
+            pause: request.longest_gap,
             ended: now,
             shared,
-            passed: request.passed,
+            passed: request.exclusions,
             tries: request.tries,
             pool: request.pool,
             standing: request.standing,
@@ -153,25 +162,25 @@
             detail: detail.into(),
         };
         let mut effects = vec![Effect::Record(Arc::new(decision))];
-        effects.extend(self.drained());
+        effects.extend(self.finish_drain());
         effects
     }
 
-    /// The current attempt is over: its load is no longer at its upstream. A
-    /// sidecar tells its load itself.
-    pub(crate) fn release(&mut self, id: u64) {
+    /// Removes the current attempt from the load of its upstream. Does nothing with sidecars, which
+    /// report their load themselves.
+    pub(crate) fn release_load(&mut self, id: u64) {
         if self.settings.path.has_sidecars() {
             return;
         }
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(last) = request.tries.last_mut().filter(|it| !it.over) else { return };
-        last.over = true;
-        let waits = std::mem::replace(&mut last.waits, false);
-        let weight = request.ask.weight;
+        let Some(last) = request.tries.last_mut().filter(|last| !last.is_released) else { return };
+        last.is_released = true;
+        let was_queued = std::mem::replace(&mut last.is_queued, false);
+        let weight = request.arrival.weight;
         if let Some(upstream) = self.upstreams.get_mut(&last.upstream) {
-            upstream.release(weight);
-            if waits {
-                upstream.begin_answer(weight);
+            upstream.remove_request(weight);
+            if was_queued {
+                upstream.remove_waiting(weight);
             }
         }
     }
--- a/components/routing/src/requests/reply.rs
+++ b/components/routing/src/requests/reply.rs
@@ -1,25 +1,23 @@
-//! What becomes of an attempt.
+//! Handles replies to attempts.
 
 use std::sync::Arc;
 
 use clock::Millis;
 use errors::{Kind, Outcome};
 use placement::key;
-use wire::{Broken, Chunk, End, Head, Note, Refused, Stage, Status};
+use wire::{Broken, Chunk, DirectoryUpdate, End, Head, Refused, Stage, Status};
 
-use crate::choosing::share::share;
 use crate::requests::request::{Phase, Request};
+use crate::selection::prefixes::publish_prefixes;
 use crate::state::State;
 use crate::{Effect, Reply};
 
-/// The lowest HTTP status that is no success.
-const NO_SUCCESS: u16 = 300;
+const MIN_UNSUCCESSFUL_STATUS: u16 = 300;
 
-/// The lowest HTTP status of a failure of the upstream.
-const FAILURES: u16 = 500;
+const MIN_FAILURE_STATUS: u16 = 500;
 
 impl State {
-    pub(crate) fn reply(
+    pub(crate) fn handle_reply(
         &mut self,
         id: u64,
         attempt: u32,
@@ -29,79 +27,79 @@
         if !self.is_current(id, attempt) {
             return Vec::new();
         }
-        self.hear_from(id, now);
+        self.record_activity(id, now);
         match reply {
-            Reply::Refused(refused) => self.refused(id, &refused, now),
-            Reply::Admitted(admitted) => self.admitted(id, admitted.status, now),
-            Reply::Head(head) => self.head(id, head, now),
-            Reply::Chunk(chunk) => self.chunk(id, chunk, now),
-            Reply::End(end) => self.end(id, end, now),
-            Reply::Broken(broken) => self.broken(id, broken, now),
-            Reply::Strange => self.cut(id, Kind::Crossed, now),
+            Reply::Refused(refused) => self.handle_refused(id, &refused, now),
+            Reply::Admitted(admitted) => self.handle_admitted(id, admitted.status, now),
+            Reply::Head(head) => self.handle_head(id, head, now),
+            Reply::Chunk(chunk) => self.handle_chunk(id, chunk, now),
+            Reply::End(end) => self.handle_end(id, end, now),
+            Reply::Broken(broken) => self.handle_broken(id, broken, now),
+            Reply::Unexpected => self.cancel_and_fail(id, Kind::Crossed, now),
         }
     }
 
-    /// Whether replies to `attempt` still count.
+    /// Whether `attempt` is current, so that replies to it count.
     fn is_current(&self, id: u64, attempt: u32) -> bool {
-        self.requests.get(&id).is_some_and(|it| {
-            it.attempt() == attempt && !matches!(it.phase, Phase::Binding | Phase::Claiming)
+        self.requests.get(&id).is_some_and(|request| {
+            request.attempt_number() == attempt
+                && !matches!(request.phase, Phase::Binding | Phase::Claiming)
         })
     }
 
-    fn refused(&mut self, id: u64, refused: &Refused, now: Millis) -> Vec<Effect> {
-        self.hear(id, refused.status, now);
+    fn handle_refused(&mut self, id: u64, refused: &Refused, now: Millis) -> Vec<Effect> {
+        self.record_status(id, refused.status, now);
         if !refused.hints.is_empty() {
-            self.follow(id, refused);
+            self.follow_hints(id, refused);
         }
-        if self.settings.path.judges_upstreams() {
+        if self.settings.path.monitors_upstreams() {
             match refused.kind {
-                Kind::Leaving => self.replaced(id, now),
-                Kind::QueueFull if self.runs_short(id, now) => {}
-                Kind::QueueFull => self.turned_away(id, now),
+                Kind::Leaving => self.mark_replaced(id, now),
+                Kind::QueueFull if self.report_saturation(id, now) => {}
+                Kind::QueueFull => self.record_refusal(id, now),
                 _ => {}
             }
         }
-        self.try_elsewhere(id, refused.kind, refused.retry_after_ms, now)
+        self.retry(id, refused.kind, refused.retry_after_ms, now)
     }
 
-    /// The chat's context is elsewhere: those places are next, then the home
-    /// itself if it has room. A hint never leads past the intents.
-    fn follow(&mut self, id: u64, refused: &Refused) {
-        let allowed = |hint: &&Arc<str>| self.may_go(id, hint);
+    /// Puts the upstreams that have the chat's context next, then its home. Hints to upstreams that
+    /// the configuration does not allow are ignored.
+    fn follow_hints(&mut self, id: u64, refused: &Refused) {
+        let allowed = |hint: &&Arc<str>| self.is_allowed(id, hint);
         let mut hints: Vec<_> = refused.hints.iter().filter(allowed).cloned().collect();
         let Some(request) = self.requests.get_mut(&id) else { return };
         if !request.hints.is_empty() {
             return;
         }
         request.hints.clone_from(&refused.hints);
-        request.candidates.retain(|it| !hints.contains(it));
+        request.candidates.retain(|candidate| !hints.contains(candidate));
         if refused.kind == Kind::Moved {
-            let home = request.tries.last().map(|it| it.upstream.clone());
+            let home = request.tries.last().map(|attempt| attempt.upstream.clone());
             request.candidates.extend(home);
         }
         hints.reverse();
         request.candidates.append(&mut hints);
     }
 
-    /// What the chat's first upstream in rank is to be told, if it was answered
-    /// by another than it believes.
-    fn note(&self, id: u64) -> Option<Effect> {
+    /// The update of the chat's directory entry, if another upstream served it than the entry says.
+    fn directory_update(&self, id: u64) -> Option<Effect> {
         let request = self.requests.get(&id)?;
         let (home, served) = (request.home.as_ref()?, request.upstream()?);
         if home == served || request.hints.first() == Some(served) {
             return None;
         }
         let upstream = self.upstreams.get(home)?;
-        let chat = key(&request.ask.workspace, &request.ask.chat);
-        Some(Effect::Note {
+        let chat = key(&request.arrival.workspace, &request.arrival.chat);
+        Some(Effect::UpdateDirectory {
             upstream: home.clone(),
             address: upstream.host.address.clone(),
-            note: Note { chat, upstream: served.clone() },
+            update: DirectoryUpdate { chat, upstream: served.clone() },
         })
     }
 
-    fn admitted(&mut self, id: u64, status: Status, now: Millis) -> Vec<Effect> {
-        self.hear(id, status, now);
+    fn handle_admitted(&mut self, id: u64, status: Status, now: Millis) -> Vec<Effect> {
+        self.record_status(id, status, now);
         if let Some(request) = self.requests.get_mut(&id)
             && request.phase == Phase::Sent
         {
@@ -110,115 +108,118 @@
         Vec::new()
     }
 
-    fn head(&mut self, id: u64, head: Head, now: Millis) -> Vec<Effect> {
+    fn handle_head(&mut self, id: u64, head: Head, now: Millis) -> Vec<Effect> {
         let Some(request) = self.requests.get_mut(&id) else {
             return Vec::new();
         };
-        if head.attempt != request.attempt() {
-            return self.cut(id, Kind::Crossed, now);
+        if head.attempt != request.attempt_number() {
+            return self.cancel_and_fail(id, Kind::Crossed, now);
         }
         if request.is_answering() {
-            return self.resumed(id, head.status, now);
+            return self.resume_answer(id, head.status, now);
         }
-        self.judge(id, head.status < FAILURES, now);
+        self.record_outcome(id, head.status < MIN_FAILURE_STATUS, now);
         let Some(request) = self.requests.get(&id) else {
             return Vec::new();
         };
-        if head.status >= FAILURES && request.repeatable && self.settings.path.judges_upstreams() {
-            return self.failed(id, head, now);
+        if head.status >= MIN_FAILURE_STATUS
+            && request.repeatable
+            && self.settings.path.monitors_upstreams()
+        {
+            return self.handle_upstream_failure(id, head, now);
         }
         let Some(request) = self.requests.get_mut(&id) else {
             return Vec::new();
         };
-        request.answer(head.status, now);
+        request.start_answer(head.status, now);
         let mut effects = vec![Effect::Head(head)];
         if let Some(upstream) = request.upstream().cloned() {
-            let parts = self.warmth.read(&request.ask.hashes(), &upstream);
-            effects.extend(share(&upstream, parts, Stage::Read));
-            self.alive(&upstream);
+            let prefixes =
+                self.prefix_index.record_cached(&request.arrival.prefix_hashes(), &upstream);
+            effects.extend(publish_prefixes(&upstream, prefixes, Stage::Cached));
+            self.record_alive(&upstream);
         }
-        self.begin_answer(id, now);
+        self.record_answer_start(id, now);
         effects
     }
 
-    /// Another upstream goes on with an answer: the caller keeps the head of the
-    /// one that began it, and a failure is no part of it.
-    fn resumed(&mut self, id: u64, status: u16, now: Millis) -> Vec<Effect> {
-        let resumed = |it: &Request| it.resumable && it.attempt() > 1;
-        if !self.requests.get(&id).is_some_and(resumed) {
-            return self.cut(id, Kind::Crossed, now);
+    /// Continues an answer at another upstream: the caller keeps the first head, and an
+    /// unsuccessful status counts as a failure.
+    fn resume_answer(&mut self, id: u64, status: u16, now: Millis) -> Vec<Effect> {
+        let can_resume = |request: &Request| request.resumable && request.attempt_number() > 1;
+        if !self.requests.get(&id).is_some_and(can_resume) {
+            return self.cancel_and_fail(id, Kind::Crossed, now);
         }
-        if status < NO_SUCCESS {
-            self.begin_answer(id, now);
+        if status < MIN_UNSUCCESSFUL_STATUS {
+            self.record_answer_start(id, now);
             return Vec::new();
         }
         let mut effects = vec![Effect::Cancel];
-        effects.extend(self.try_elsewhere(id, Kind::Truncated, 0, now));
+        effects.extend(self.retry(id, Kind::Truncated, 0, now));
         effects
     }
 
-    /// The upstream ran the request and failed. Another one may do better; if
-    /// none may be asked, the caller gets the failure.
-    fn failed(&mut self, id: u64, head: Head, now: Millis) -> Vec<Effect> {
-        if self.may_try_elsewhere(id, Kind::UpstreamFailed, now) {
-            self.mark(id, Kind::UpstreamFailed);
+    /// Retries a request that failed at its upstream, or passes the failure on to the caller.
+    fn handle_upstream_failure(&mut self, id: u64, head: Head, now: Millis) -> Vec<Effect> {
+        if self.acquire_retry(id, Kind::UpstreamFailed, now) {
+            self.record_failure(id, Kind::UpstreamFailed);
             let mut effects = vec![Effect::Cancel];
-            effects.extend(self.attempt(id, now));
+            effects.extend(self.send_next(id, now));
             return effects;
         }
         if let Some(request) = self.requests.get_mut(&id) {
-            request.answer(head.status, now);
+            request.start_answer(head.status, now);
         }
         vec![Effect::Head(head)]
     }
 
-    fn chunk(&mut self, id: u64, chunk: Chunk, now: Millis) -> Vec<Effect> {
+    fn handle_chunk(&mut self, id: u64, chunk: Chunk, now: Millis) -> Vec<Effect> {
         let Some(request) = self.requests.get_mut(&id) else {
             return Vec::new();
         };
-        request.relay(now);
-        let attempt = request.attempt();
+        request.record_chunk(now);
+        let attempt = request.attempt_number();
         let Phase::Answering { chunks, bytes } = &mut request.phase else {
-            return self.cut(id, Kind::Crossed, now);
+            return self.cancel_and_fail(id, Kind::Crossed, now);
         };
         if chunk.attempt != attempt {
-            return self.cut(id, Kind::Crossed, now);
+            return self.cancel_and_fail(id, Kind::Crossed, now);
         }
         if chunk.sequence < *chunks {
             return Vec::new();
         }
         if chunk.sequence > *chunks {
-            return self.cut(id, Kind::Truncated, now);
+            return self.cancel_and_fail(id, Kind::Truncated, now);
         }
         *chunks += 1;
         *bytes += chunk.bytes.len() as u64;
         vec![Effect::Relay(chunk.bytes)]
     }
 
-    fn end(&mut self, id: u64, end: End, now: Millis) -> Vec<Effect> {
-        self.hear(id, end.status, now);
+    fn handle_end(&mut self, id: u64, end: End, now: Millis) -> Vec<Effect> {
+        self.record_status(id, end.status, now);
         let Some(request) = self.requests.get_mut(&id) else {
             return Vec::new();
         };
-        if end.attempt != request.attempt() {
-            return self.cut(id, Kind::Crossed, now);
+        if end.attempt != request.attempt_number() {
+            return self.cancel_and_fail(id, Kind::Crossed, now);
         }
-        let whole = Phase::Answering { chunks: end.chunks, bytes: end.bytes };
-        if request.phase != whole {
-            return self.cut(id, Kind::Truncated, now);
+        let complete = Phase::Answering { chunks: end.chunks, bytes: end.bytes };
+        if request.phase != complete {
+            return self.cancel_and_fail(id, Kind::Truncated, now);
         }
-        let mut effects: Vec<_> = self.note(id).into_iter().collect();
+        let mut effects: Vec<_> = self.directory_update(id).into_iter().collect();
         effects.push(Effect::Finish);
         effects.extend(self.close(id, None, "", now));
         effects
     }
 
-    fn broken(&mut self, id: u64, broken: Broken, now: Millis) -> Vec<Effect> {
+    fn handle_broken(&mut self, id: u64, broken: Broken, now: Millis) -> Vec<Effect> {
         let Some(request) = self.requests.get(&id) else {
             return Vec::new();
         };
-        if broken.attempt != request.attempt() {
-            return self.cut(id, Kind::Crossed, now);
+        if broken.attempt != request.attempt_number() {
+            return self.cancel_and_fail(id, Kind::Crossed, now);
         }
         if request.is_answering() && !request.resumable {
             let kind = if broken.kind.row().outcome == Outcome::Ran {
@@ -228,10 +229,16 @@
             };
             return self.fail(id, kind, 0, "", now);
         }
-        self.try_elsewhere(id, broken.kind, 0, now)
+        self.retry(id, broken.kind, 0, now)
     }
 
-    pub(crate) fn lost(&mut self, id: u64, attempt: u32, sent: bool, now: Millis) -> Vec<Effect> {
+    pub(crate) fn handle_connection_failure(
+        &mut self,
+        id: u64,
+        attempt: u32,
+        sent: bool,
+        now: Millis,
+    ) -> Vec<Effect> {
         if !self.is_current(id, attempt) {
             return Vec::new();
         }
@@ -241,38 +248,37 @@
         let (answering, upstream) = (request.is_answering(), request.upstream().cloned());
         let mut effects = Vec::new();
         if sent {
-            self.judge(id, false, now);
-            effects.extend(self.break_off(id, now));
+            self.record_outcome(id, false, now);
+            effects.extend(self.record_interrupted_and_check(id, now));
         }
         if let Some(upstream) = upstream {
-            self.blame(&upstream, sent, now);
+            self.record_connection_failure(&upstream, sent, now);
         }
         let kind = match (answering, sent) {
             (true, _) => Kind::Truncated,
             (false, true) => Kind::LinkLost,
             (false, false) => Kind::Unreachable,
         };
-        effects.extend(self.try_elsewhere(id, kind, 0, now));
+        effects.extend(self.retry(id, kind, 0, now));
         effects
     }
 
-    /// A sidecar that says nothing is frozen or cut off; the request may still
-    /// run there.
-    pub(crate) fn stalled(&mut self, id: u64, attempt: u32, now: Millis) -> Vec<Effect> {
-        if self.settings.path.judges_upstreams() {
-            let looks = self.settings.mechanisms.silence;
-            return if looks && self.is_current(id, attempt) {
-                self.quiet(id, now)
+    /// Handles an attempt whose timeout passed; the request may still be running there.
+    pub(crate) fn handle_stall(&mut self, id: u64, attempt: u32, now: Millis) -> Vec<Effect> {
+        if self.settings.path.monitors_upstreams() {
+            let detects_silence = self.settings.mechanisms.silence;
+            return if detects_silence && self.is_current(id, attempt) {
+                self.handle_silence(id, now)
             } else {
                 Vec::new()
             };
         }
-        let waiting = self.requests.get(&id).is_some_and(|it| it.phase == Phase::Sent);
+        let waiting = self.requests.get(&id).is_some_and(|request| request.phase == Phase::Sent);
         if !waiting || !self.is_current(id, attempt) {
             return Vec::new();
         }
         let mut effects = vec![Effect::Cancel];
-        effects.extend(self.lost(id, attempt, true, now));
+        effects.extend(self.handle_connection_failure(id, attempt, true, now));
         effects
     }
 }
--- a/components/routing/src/requests/request.rs
+++ b/components/routing/src/requests/request.rs
@@ -1,4 +1,4 @@
-//! One request on its way.
+//! State of a request in flight.
 
 use std::sync::Arc;
 
@@ -6,128 +6,126 @@
 use errors::{Kind, Outcome};
 use shares::Standing;
 
-use crate::beliefs::outlook::Outlook;
-use crate::{Ask, Once, Passed, Try};
+use crate::upstreams::estimate::Estimate;
+use crate::{Arrival, Exclusion, IdempotencyKey, Try};
 
-/// How far the current attempt has come.
+/// Progress of the current attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// The owner of the key is being looked up.
+    /// The owner of the idempotency key is being resolved.
     Binding,
-    /// Not sent yet: its upstream is reading what it shares with another.
-    Waiting,
-    /// Not sent yet: its pool is short, and the pool's owner is asked for a place.
+    /// Not sent: postponed while another request prefills the same prefix.
+    Postponed,
+    /// Not sent: the pool is saturated, and a permit was claimed.
     Claiming,
-    /// Sent; the sidecar has not said anything.
+    /// Sent; nothing received yet.
     Sent,
-    /// The sidecar has taken it.
+    /// Admitted by the sidecar.
     Admitted,
-    /// The head of the answer was passed on.
+    /// The head of the answer was sent to the caller.
     Answering { chunks: u64, bytes: u64 },
 }
 
-/// How a request stands with the owner of its pool.
+/// Permit for a slot in a saturated pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Place {
-    /// It has asked for none.
+pub(crate) enum Permit {
+    /// None was claimed.
     #[default]
     None,
-    /// It has asked, under this number.
-    Asked(u64),
-    /// It holds the permit of this number.
+    /// Claimed with this number.
+    Claimed(u64),
+    /// Held; the number is the claim's.
     Held(u64),
-    /// It goes without a permit, by this router's own part.
-    Own,
+    /// Not needed: the request continues without a permit.
+    Waived,
 }
 
-/// The state of a request between its arrival and its final answer.
+/// A request between its arrival and its final answer.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
-    pub ask: Ask,
-    pub came: Millis,
-    /// How old the proof was that the configuration in force is the newest.
+    pub arrival: Arrival,
+    pub arrived: Millis,
+    /// Age of the configuration's confirmation on arrival, in milliseconds.
     pub proof_ms: Option<u64>,
-    /// The view on its pool when it came.
-    pub outlook: Outlook,
-    /// The status of the answer that was passed on.
+    /// Load estimates of the pool, as of the last ranking.
+    pub estimate: Estimate,
+    /// HTTP status of the answer.
     pub status: Option<u16>,
-    /// When the head of the answer was passed on, and when the last part was.
-    pub answered: Option<Millis>,
-    pub relayed: Option<Millis>,
-    /// The longest that the caller waited between two parts.
-    pub pause: Millis,
+    /// When the head and the last part of the answer were sent to the caller.
+    pub answered_at: Option<Millis>,
+    pub relayed_at: Option<Millis>,
+    /// Longest gap between two parts of the answer.
+    pub longest_gap: Millis,
     pub deadline: Millis,
-    /// The time to an answer, or to its first event, that callers hope for.
+    /// Target time until the answer, or its first event, in milliseconds.
     pub objective_ms: Option<u64>,
-    /// Until when it may wait for another request's reading.
-    pub patience: Millis,
+    /// Until when it may be postponed for another request's prefill.
+    pub postpone_until: Millis,
     pub phase: Phase,
     pub repeatable: bool,
     /// Whether a broken answer may be continued at another upstream.
     pub resumable: bool,
-    /// The most upstreams that it may be sent to.
-    pub attempts: u32,
-    /// The pool whose retry budget it draws on.
+    /// Maximum number of upstreams it may be sent to.
+    pub max_attempts: u32,
+    /// Pool whose retry budget it uses.
     pub pool: Arc<str>,
     pub priority: i32,
     pub intent: Arc<str>,
     pub generation: u64,
-    /// The candidates not tried yet, the next one last.
+    /// Candidates not tried yet, the next one last.
     pub candidates: Vec<Arc<str>>,
-    pub passed: Vec<Passed>,
-    /// The chat's first upstream in rank, which keeps its directory entry.
+    pub exclusions: Vec<Exclusion>,
+    /// First upstream in rank, which keeps the chat's directory entry.
     pub home: Option<Arc<str>>,
-    /// The first in rank, where the chat's context is warm if anywhere.
-    pub first: Option<Arc<str>>,
-    /// Where the home said that the chat's context is.
+    /// First upstream in rank, which most likely has the chat's context cached.
+    pub first_ranked: Option<Arc<str>>,
+    /// Upstreams that have the chat's context, according to its home.
     pub hints: Vec<Arc<str>>,
     pub tries: Vec<Try>,
-    /// How its workspace stood to its share when it was turned away.
+    /// Standing of the workspace when the request was refused.
     pub standing: Option<Standing>,
-    /// Its place in a pool that is short.
-    pub place: Place,
-    /// Upstreams where it was granted a place that it can't use.
+    pub permit: Permit,
+    /// Upstreams whose permits could not be used.
     pub unusable: Vec<Arc<str>>,
 }
 
 impl Request {
-    pub(crate) fn attempt(&self) -> u32 {
+    pub(crate) fn attempt_number(&self) -> u32 {
         u32::try_from(self.tries.len()).unwrap_or(u32::MAX)
     }
 
-    /// How many upstreams the request has been sent to; one that no connection
-    /// led to is none.
-    pub(crate) fn reached(&self) -> u32 {
-        let reached = self.tries.iter().filter(|it| it.error != Some(Kind::Unreachable));
+    /// Number of upstreams the request was sent to, without failed connections.
+    pub(crate) fn reached_count(&self) -> u32 {
+        let reached = self.tries.iter().filter(|attempt| attempt.error != Some(Kind::Unreachable));
         u32::try_from(reached.count()).unwrap_or(u32::MAX)
     }
 
-    /// The head of an answer is passed on.
-    pub(crate) fn answer(&mut self, status: u16, now: Millis) {
+    /// Marks the head of the answer as sent to the caller.
+    pub(crate) fn start_answer(&mut self, status: u16, now: Millis) {
         self.phase = Phase::Answering { chunks: 0, bytes: 0 };
         self.status = Some(status);
-        self.answered = Some(now);
+        self.answered_at = Some(now);
     }
 
-    /// A part of an answer is passed on.
-    pub(crate) fn relay(&mut self, now: Millis) {
-        let pause = self.relayed.map_or(Millis::ZERO, |it| it.until(now));
-        self.pause = self.pause.max(pause);
-        self.relayed = Some(now);
+    /// Marks a part of the answer as sent to the caller.
+    pub(crate) fn record_chunk(&mut self, now: Millis) {
+        let gap = self.relayed_at.map_or(Millis::ZERO, |relayed_at| relayed_at.until(now));
+        self.longest_gap = self.longest_gap.max(gap);
+        self.relayed_at = Some(now);
     }
 
-    pub(crate) fn once(&self) -> Option<&Once> {
-        self.ask.once.as_ref()
+    pub(crate) fn idempotency_key(&self) -> Option<&IdempotencyKey> {
+        self.arrival.idempotency_key.as_ref()
     }
 
-    /// Where the current attempt went.
+    /// Upstream of the current attempt.
     pub(crate) fn upstream(&self) -> Option<&Arc<str>> {
-        self.tries.last().map(|it| &it.upstream)
+        self.tries.last().map(|attempt| &attempt.upstream)
     }
 
-    /// The error of an attempt that may have run, if there was one.
-    pub(crate) fn uncertain(&self) -> Option<Kind> {
-        let mut errors = self.tries.iter().filter_map(|it| it.error);
+    /// Error of an attempt that may have run, if any.
+    pub(crate) fn uncertain_error(&self) -> Option<Kind> {
+        let mut errors = self.tries.iter().filter_map(|attempt| attempt.error);
         errors.find(|kind| kind.row().outcome != Outcome::NotRun)
     }
 
--- a/components/routing/src/state.rs
+++ b/components/routing/src/state.rs
@@ -1,4 +1,4 @@
-//! The state of a router and the events that concern the whole of it.
+//! The router's state and the events that concern all of it.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -10,19 +10,19 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::admission::{Flow, Shares};
-use crate::beliefs::cold::Members;
-use crate::beliefs::fleet::labels;
-use crate::beliefs::loads::Peers;
-use crate::beliefs::warmth::Warmth;
-use crate::beliefs::word::Words;
-use crate::choosing::choice::{Index, Upstreams};
+use crate::recovery::draining::{Drain, Durations};
 use crate::recovery::quarantine::Quarantine;
-use crate::recovery::stopping::{Durations, Stop};
-use crate::requests::placing::Shorts;
+use crate::requests::permits::Saturation;
 use crate::requests::request::Request;
+use crate::selection::candidates::{Index, Upstreams};
+use crate::upstreams::cold::Members;
+use crate::upstreams::loads::Peers;
+use crate::upstreams::notices::Notices;
+use crate::upstreams::prefix_index::PrefixIndex;
+use crate::upstreams::updates::labels;
 use crate::{Budget, Effect, Event, Settings, Upstream};
 
-/// Everything that a router knows.
+/// State of a router's reducer.
 #[derive(Debug)]
 pub struct State {
     pub(crate) settings: Settings,
@@ -30,47 +30,47 @@
     pub(crate) upstreams: Upstreams,
     pub(crate) index: Index,
     pub(crate) requests: HashMap<u64, Request>,
-    /// Retries after faults, for each pool of upstreams.
-    pub(crate) budgets: HashMap<Arc<str>, Budget>,
-    /// Hops after refusals over load, which did not run.
-    pub(crate) hops: Budget,
-    /// The mean load of each pool's upstreams, as answers tell it.
-    pub(crate) means: HashMap<Arc<str>, f64>,
-    /// What has passed through each pool.
+    /// Budgets for retries after failures, by pool.
+    pub(crate) retry_budgets: HashMap<Arc<str>, Budget>,
+    /// Budget for retries after refusals over load, where these are counted separately.
+    pub(crate) hop_budget: Budget,
+    /// Mean observed load of an upstream, by pool.
+    pub(crate) mean_loads: HashMap<Arc<str>, f64>,
+    /// Wait estimates and retry bookings, by pool.
     pub(crate) flows: BTreeMap<Arc<str>, Flow>,
-    /// What is asked of each pool, and by whom.
+    /// Demand by pool and workspace.
     pub(crate) shares: Shares,
-    /// Among how many routers the retry budget is divided.
-    pub(crate) routers: usize,
-    /// The failure domains that are to take nothing.
+    /// Routers that share the retry budgets.
+    pub(crate) router_count: usize,
+    /// Evacuated failure domains.
     pub(crate) evacuated: BTreeSet<Arc<str>>,
-    /// The routers that share what cold upstreams bear.
+    /// Announced routers, which share the quotas of cold upstreams.
     pub(crate) members: Members,
-    /// Set once the router is to stop.
-    pub(crate) stop: Option<Stop>,
-    /// How long answers took lately.
+    /// Set while the router drains.
+    pub(crate) drain: Option<Drain>,
+    /// Durations of recent answers, by kind.
     pub(crate) durations: Durations,
-    /// Where parts of prompts are warm; kept for direct upstreams only.
-    pub(crate) warmth: Warmth,
-    /// When the configuration in force was last known to be the newest.
-    pub(crate) current: Option<Millis>,
-    /// Under what work upstreams ended.
+    /// Prompt prefixes cached at upstreams; only for upstreams reached directly.
+    pub(crate) prefix_index: PrefixIndex,
+    /// When the current configuration was last confirmed to be the newest.
+    pub(crate) confirmed_at: Option<Millis>,
+    /// Work under which upstreams crashed.
     pub(crate) quarantine: Quarantine,
-    /// What upstreams have said of themselves.
-    pub(crate) words: Words,
-    /// What other routers told of their own load.
+    /// Upstreams that are leaving or asked for a pause.
+    pub(crate) upstream_notices: Notices,
+    /// Loads reported by other routers.
     pub(crate) peers: Peers,
-    /// The pools that are short of places.
-    pub(crate) shorts: Shorts,
-    /// What has come to be believed of upstreams while an event was taken.
-    pub(crate) notices: Vec<Effect>,
-    pub(crate) random: ChaCha8Rng,
+    /// Saturated pools.
+    pub(crate) saturation: Saturation,
+    /// Further effects of the current event, returned after its own.
+    pub(crate) pending_effects: Vec<Effect>,
+    pub(crate) rng: ChaCha8Rng,
 }
 
 impl State {
-    /// A router that knows nothing yet; `seed` decides its jitter.
+    /// Creates an empty state; `seed` determines its random choices.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let hops = Budget::new(settings.hop_share, settings.hop_burst);
+        let hop_budget = Budget::new(settings.hop_share, settings.hop_burst);
         let shares = Shares::new(&settings.weights);
         Self {
             settings,
@@ -78,173 +78,176 @@
             upstreams: Upstreams::new(),
             index: Index::default(),
             requests: HashMap::new(),
-            budgets: HashMap::new(),
-            hops,
-            means: HashMap::new(),
+            retry_budgets: HashMap::new(),
+            hop_budget,
+            mean_loads: HashMap::new(),
             flows: BTreeMap::new(),
             shares,
-            routers: 1,
+            router_count: 1,
             evacuated: BTreeSet::new(),
             members: Members::default(),
-            stop: None,
+            drain: None,
             durations: Durations::default(),
-            warmth: Warmth::default(),
-            current: None,
+            prefix_index: PrefixIndex::default(),
+            confirmed_at: None,
             quarantine: Quarantine::default(),
-            words: Words::default(),
+            upstream_notices: Notices::default(),
             peers: Peers::default(),
-            shorts: Shorts::new(seed),
-            notices: Vec::new(),
-            random: ChaCha8Rng::seed_from_u64(seed),
+            saturation: Saturation::new(seed),
+            pending_effects: Vec::new(),
+            rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// The configuration in force, if there is one.
+    /// The current configuration, if any.
     pub fn plan(&self) -> Option<&Arc<Plan>> {
         self.plan.as_ref()
     }
 
-    /// The generation of the configuration in force; 0 if there is none.
+    /// Generation of the current configuration; 0 if there is none.
     pub(crate) fn generation(&self) -> u64 {
-        self.plan.as_ref().map_or(0, |it| it.generation())
+        self.plan.as_ref().map_or(0, |plan| plan.generation())
     }
 
-    /// The upstreams known, by name.
+    /// All known upstreams.
     pub fn upstreams(&self) -> impl Iterator<Item = &Upstream> {
         self.upstreams.values()
     }
 
-    /// How many requests have not got their final answer.
+    /// Number of requests without a final answer.
     pub fn in_flight(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether new requests may be sent here: a configuration is in force, an
-    /// upstream is up, and the router is not stopping.
+    /// Whether the router accepts new requests: it has a confirmed configuration and an upstream
+    /// that is up, and is not draining.
     pub fn is_ready(&self, now: Millis) -> bool {
         let up = self.upstreams.values().any(|upstream| upstream.is_up(now));
-        let up = up || self.settings.path.trusts_the_list();
-        let proved = self.is_proved(self.settings.ready_ms, now);
-        self.plan.is_some() && up && proved && self.stop.is_none()
+        let up = up || self.settings.path.trusts_listing();
+        let confirmed = self.is_confirmed_within(self.settings.ready_ms, now);
+        self.plan.is_some() && up && confirmed && self.drain.is_none()
     }
 
-    /// Whether the configuration in force is proved to have been the newest in
-    /// the last `within` milliseconds; zero asks for no proof.
-    pub fn is_proved(&self, within: u64, now: Millis) -> bool {
-        within == 0 || self.current.is_some_and(|at| at.until(now).0 <= within)
+    /// Whether the current configuration was confirmed to be the newest in the last `within`
+    /// milliseconds; always true for zero.
+    pub fn is_confirmed_within(&self, within: u64, now: Millis) -> bool {
+        within == 0 || self.confirmed_at.is_some_and(|at| at.until(now).0 <= within)
     }
 
-    /// How long ago the configuration in force was known to be the newest.
-    pub fn proof_ms(&self, now: Millis) -> Option<u64> {
-        self.current.map(|at| at.until(now).0)
+    /// Time since the current configuration was last confirmed, in milliseconds.
+    pub fn confirmation_age_ms(&self, now: Millis) -> Option<u64> {
+        self.confirmed_at.map(|at| at.until(now).0)
     }
 
-    /// When a caller that is refused for `kind` is told to come back at the earliest,
-    /// in milliseconds.
+    /// Shortest time after which a caller refused for `kind` may retry, in milliseconds.
     pub fn retry_after_ms(&self, kind: Kind, now: Millis) -> u64 {
-        let elsewhere = matches!(kind, Kind::StaleConfiguration | Kind::Draining);
-        if elsewhere && self.others_are_current(now) {
+        let may_retry_elsewhere = matches!(kind, Kind::StaleConfiguration | Kind::Draining);
+        if may_retry_elsewhere && self.has_current_peer(now) {
             return self.settings.elsewhere_retry_after_ms;
         }
         self.settings.retry_after_ms(kind)
     }
 
-    /// Takes one event and returns what is to be done about it.
+    /// Applies an event and returns the resulting effects.
     ///
-    /// Effects of an event about one request all concern that request, apart
-    /// from `Drained`, `Share`, `Suspect`, `Revive`, `Leave`, `Rest`, `Check`, `Report`, `Clear`,
-    /// `HoldBack`, `Release` and `RunsShort`.
+    /// Effects of an event about one request concern that request, except `Drained`,
+    /// `PublishPrefixes`, `Suspect`, `Recovered`, `Leaving`, `Backoff`, `Check`, `ReportCrashes`,
+    /// `ReportCleared`, `Quarantine`, `Release` and `ReportSaturation`.
     pub fn apply(&mut self, event: Event, now: Millis) -> Vec<Effect> {
-        let mut effects = self.take(event, now);
-        effects.append(&mut self.notices);
+        let mut effects = self.handle(event, now);
+        effects.append(&mut self.pending_effects);
         effects
     }
 
-    fn take(&mut self, event: Event, now: Millis) -> Vec<Effect> {
+    fn handle(&mut self, event: Event, now: Millis) -> Vec<Effect> {
         match event {
-            Event::Ask(ask) => self.ask(ask, now),
-            Event::Bound { id, owner } => self.bound(id, owner.as_ref(), now),
-            Event::Reply { id, attempt, reply } => self.reply(id, attempt, reply, now),
-            Event::Lost { id, attempt, sent } => self.lost(id, attempt, sent, now),
-            Event::Stalled { id, attempt } => self.stalled(id, attempt, now),
-            Event::Quit { id } => self.quit(id, now),
+            Event::Arrival(arrival) => self.handle_arrival(arrival, now),
+            Event::KeyBound { id, owner } => self.handle_key_bound(id, owner.as_ref(), now),
+            Event::Reply { id, attempt, reply } => self.handle_reply(id, attempt, reply, now),
+            Event::ConnectionFailed { id, attempt, sent } => {
+                self.handle_connection_failure(id, attempt, sent, now)
+            }
+            Event::Stalled { id, attempt } => self.handle_stall(id, attempt, now),
+            Event::Cancel { id } => self.cancel(id, now),
             Event::Expire { id } => self.expire(id, now),
-            Event::Hosts(hosts) => self.hosts(hosts, now),
-            Event::Tick => self.connects(now),
-            Event::Met(welcome) => self.met(&welcome, now),
-            Event::Alive { upstream } => self.alive(&upstream),
-            Event::Missed { upstream } => self.missed(&upstream, now),
-            Event::Settings(settings) => self.set(*settings),
+            Event::Hosts(hosts) => self.set_hosts(hosts, now),
+            Event::Tick => self.connect(now),
+            Event::Connected(welcome) => self.record_connected(&welcome, now),
+            Event::Alive { upstream } => self.record_alive(&upstream),
+            Event::Unreachable { upstream } => self.record_unreachable(&upstream, now),
+            Event::Settings(settings) => self.update_settings(*settings),
             Event::Configure(plan) => self.configure(plan, now),
-            Event::Current { at } => self.prove(at),
-            Event::Routers(count) => self.divide(count),
+            Event::ConfigurationConfirmed { at } => self.confirm_configuration(at),
+            Event::RouterCount(count) => self.set_router_count(count),
             Event::Members { own, announced } => {
-                self.meet(own, announced, now);
+                self.update_members(own, announced, now);
                 Vec::new()
             }
-            Event::Evacuated(domains) => self.evacuate(domains, now),
-            Event::Cold { upstream, left } => {
-                self.chill(&upstream, left, now);
+            Event::Evacuated(domains) => self.set_evacuated(domains, now),
+            Event::Cold { upstream, remaining } => {
+                self.mark_cold(&upstream, remaining, now);
                 Vec::new()
             }
-            Event::Leaves { upstream } => {
-                self.take_leave(&upstream, now);
+            Event::Leaving { upstream } => {
+                self.record_leaving(&upstream, now);
                 Vec::new()
             }
-            Event::Rests { upstream, lasts } => {
-                self.take_rest(&upstream, lasts, now);
+            Event::Backoff { upstream, duration } => {
+                self.record_backoff(&upstream, duration, now);
                 Vec::new()
             }
             Event::Load { upstream, requests, waiting } => {
-                self.load(&upstream, requests, waiting, now)
+                self.record_load(&upstream, requests, waiting, now)
             }
             Event::Pace { upstream, percent } => {
-                self.hear_pace(&upstream, percent, now);
+                self.record_pace(&upstream, percent, now);
                 Vec::new()
             }
             Event::Paces(paces) => {
-                self.hear_paces(&paces, now);
+                self.receive_paces(&paces, now);
                 Vec::new()
             }
-            Event::Warm(warm) => self.warm(&warm, now),
+            Event::WarmPrefixes(warm) => self.receive_prefixes(&warm, now),
             Event::Loads(loads) => {
-                self.hear_loads(loads, now);
+                self.receive_loads(loads, now);
                 Vec::new()
             }
-            Event::Heard(heard) => {
-                self.hear_others(&heard, now);
+            Event::Observations(observations) => {
+                self.receive_observations(&observations, now);
                 Vec::new()
             }
-            Event::Outcomes(outcomes) => self.hear_outcomes(&outcomes, now),
-            Event::Delays(delays) => self.hear_delays(&delays, now),
-            Event::Demands(demands) => self.hear_demands(demands, now),
+            Event::Outcomes(outcomes) => self.receive_outcomes(&outcomes, now),
+            Event::Delays(delays) => self.receive_delays(&delays, now),
+            Event::Demands(demands) => self.receive_demands(demands, now),
             Event::Crashes(crashes) => {
-                self.learn_crashes(crashes, now);
+                self.record_crashes(crashes, now);
                 Vec::new()
             }
-            Event::Checked { upstream, check } => self.checked(&upstream, check, now),
-            Event::Waited { id } => self.waited(id, now),
-            Event::Granted { id, number, upstream } => self.granted(id, number, &upstream, now),
-            Event::Denied { id, number, after_ms } => self.denied(id, number, after_ms, now),
-            Event::Unanswered { id, number } => self.unanswered(id, number, now),
-            Event::Short { pool, lasts } => {
-                self.shorts.hear(&pool, lasts, now);
+            Event::Checked { upstream, check } => self.record_liveness(&upstream, check, now),
+            Event::Due { id } => self.handle_due(id, now),
+            Event::Granted { id, number, upstream } => {
+                self.handle_granted(id, number, &upstream, now)
+            }
+            Event::Denied { id, number, after_ms } => self.handle_denied(id, number, after_ms, now),
+            Event::Unanswered { id, number } => self.handle_unanswered(id, number, now),
+            Event::Saturated { pool, duration } => {
+                self.saturation.record(&pool, duration, now);
                 Vec::new()
             }
             Event::Drain { until } => self.drain(until),
         }
     }
 
-    /// Requests under way keep what was decided on them.
-    fn set(&mut self, settings: Settings) -> Vec<Effect> {
-        self.shares.weigh(&settings.weights);
+    /// Replaces the settings; requests in flight keep earlier decisions.
+    fn update_settings(&mut self, settings: Settings) -> Vec<Effect> {
+        self.shares.set_weights(&settings.weights);
         self.settings = settings;
-        self.change_budgets();
+        self.update_budgets();
         self.index.clear();
         Vec::new()
     }
 
-    /// A lower or equal generation changes nothing.
+    /// Replaces the configuration unless its generation is not newer.
     fn configure(&mut self, plan: Arc<Plan>, now: Millis) -> Vec<Effect> {
         if plan.generation() <= self.generation() {
             return Vec::new();
@@ -254,12 +257,12 @@
         }
         self.plan = Some(plan);
         self.index.clear();
-        self.deal(now);
+        self.allocate_quotas(now);
         Vec::new()
     }
 
-    fn prove(&mut self, at: Millis) -> Vec<Effect> {
-        self.current = self.current.max(Some(at));
+    fn confirm_configuration(&mut self, at: Millis) -> Vec<Effect> {
+        self.confirmed_at = self.confirmed_at.max(Some(at));
         Vec::new()
     }
 }
--- a/components/settings/src/router.rs
+++ b/components/settings/src/router.rs
@@ -4,7 +4,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::check::{address, base, bound, key, name, positive};
+use crate::check::{
+    check_address, check_base_url, check_bound, check_key, check_name, check_positive,
+};
 use crate::{Check, Error};
 
 /// The settings of a router.
@@ -13,50 +15,50 @@
 pub struct Router {
     /// The router's name; part of every request id.
     pub name: Arc<str>,
-    /// Where callers connect: IP number and port.
+    /// The address for callers: IP address and port.
     pub listen: Arc<str>,
     /// The key that all processes of the fleet share.
     pub link_key: Arc<str>,
-    /// The platform's list of hosts.
+    /// The URL of the platform's list of hosts.
     pub hosts_url: Arc<str>,
-    /// The platform's key-value service; without it, a call that may not be
-    /// repeated needs a key from this fleet.
+    /// The URL of the platform's key-value service; without one, calls that may not be
+    /// repeated need an idempotency key from this fleet.
     #[serde(default)]
     pub store_url: Option<Arc<str>>,
-    /// The file of the routing intents.
+    /// The path of the file with the routing intents.
     pub intents: Arc<str>,
-    /// How often the list of hosts is read, in milliseconds.
+    /// The time between two reads of the list of hosts, in milliseconds.
     #[serde(default = "defaults::hosts_every_ms")]
     pub hosts_every_ms: u64,
-    /// The largest request body, in bytes.
+    /// The maximum size of a request body, in bytes.
     #[serde(default = "defaults::body_bytes")]
     pub body_bytes: usize,
-    /// How long a request body may take to come, in milliseconds.
+    /// The time limit for receiving a request body, in milliseconds.
     #[serde(default = "defaults::body_ms")]
     pub body_ms: u64,
-    /// How long a link may take to stand, in milliseconds.
+    /// The time limit for establishing a link, in milliseconds.
     #[serde(default = "defaults::connect_ms")]
     pub connect_ms: u64,
-    /// How long a planned stop waits for requests in flight, in milliseconds.
+    /// The time limit for requests in flight during a planned stop, in milliseconds.
     #[serde(default = "defaults::drain_ms")]
     pub drain_ms: u64,
-    /// How long `/readyz` says no before a planned stop refuses new requests,
-    /// in milliseconds.
+    /// How long `/readyz` fails before a planned stop refuses new requests, in
+    /// milliseconds.
     #[serde(default = "defaults::drain_notice_ms")]
     pub drain_notice_ms: u64,
-    /// The collector of traces, such as `http://127.0.0.1:4318`; no spans are
-    /// made without one.
+    /// The URL of the trace collector, such as `http://127.0.0.1:4318`; without one, no spans
+    /// are recorded.
     #[serde(default)]
     pub traces_url: Option<Arc<str>>,
-    /// The decisions' settings.
+    /// Settings of routing decisions.
     #[serde(default)]
     pub routing: routing::Settings,
     /// The router's own failure domain, if it is known.
     #[serde(default)]
     pub domain: Arc<str>,
-    /// Set where a platform's adapter makes the settings: upstreams are reached
-    /// directly, and the platform's store takes the place of the list of hosts
-    /// and of the file of the intents.
+    /// Set by the adapter of a platform: upstreams are then reached directly, and
+    /// the platform's store replaces the list of hosts and the file with the
+    /// intents.
     #[serde(skip)]
     pub direct: Option<Direct>,
 }
@@ -64,20 +66,19 @@
 /// The settings of a router without sidecars.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Direct {
-    /// Where operators and the platform ask for `/metrics` and whether the
-    /// router is ready: IP number and port.
-    pub operators: Arc<str>,
-    /// Where hints of other routers come in: IP number and UDP port. Without it
-    /// the router neither takes nor gives any.
+    /// The address for `/metrics` and readiness checks: IP address and port.
+    pub admin: Arc<str>,
+    /// The address for hints of other routers: IP address and UDP port. Without
+    /// one, the router neither sends nor receives hints.
     pub hints: Option<Arc<str>>,
-    /// How long to wait between two looks at the platform's store, in
+    /// The time between two polls of the platform's store, in milliseconds.
+    pub poll_interval_ms: u64,
+    /// How long a confirmation of the store's content by another router is valid, in
     /// milliseconds.
-    pub look_ms: u64,
-    /// How old the proof may get of what a router hears from others, in milliseconds.
-    pub news_ms: u64,
-    /// How much the host has to spare for other routers; only the order among hosts counts.
+    pub confirmation_ttl_ms: u64,
+    /// The host's capacity for serving other routers, compared between hosts.
     pub strength: u32,
-    /// Whether the whole fleet starts for the first time.
+    /// Whether this is the first start of the whole fleet.
     pub first_start: bool,
 }
 
@@ -131,36 +132,36 @@
     }
 }
 
-/// The largest request body that a frame of the link has room for, in bytes.
-const MAX_BODY: usize = 1024 * 1024;
+/// Upper bound of a request body, which has to fit into a frame of the link.
+const MAX_BODY_BYTES: usize = 1024 * 1024;
 
 impl Check for Router {
     fn check(&self) -> Result<(), Error> {
-        name("name", &self.name)?;
-        address("listen", &self.listen)?;
-        key("link_key", &self.link_key)?;
-        base("hosts_url", &self.hosts_url)?;
+        check_name("name", &self.name)?;
+        check_address("listen", &self.listen)?;
+        check_key("link_key", &self.link_key)?;
+        check_base_url("hosts_url", &self.hosts_url)?;
         if let Some(url) = &self.store_url {
-            base("store_url", url)?;
+            check_base_url("store_url", url)?;
         }
         if let Some(url) = &self.traces_url {
-            base("traces_url", url)?;
+            check_base_url("traces_url", url)?;
         }
-        positive("hosts_every_ms", self.hosts_every_ms)?;
-        positive("body_bytes", self.body_bytes as u64)?;
-        let fits = self.body_bytes <= MAX_BODY;
-        crate::check::rule(fits, "body_bytes", self.body_bytes, "at most 1048576")?;
-        positive("body_ms", self.body_ms)?;
-        positive("connect_ms", self.connect_ms)?;
-        bound("routing.bound", &self.routing.bound)?;
+        check_positive("hosts_every_ms", self.hosts_every_ms)?;
+        check_positive("body_bytes", self.body_bytes as u64)?;
+        let holds = self.body_bytes <= MAX_BODY_BYTES;
+        crate::check::check_rule(holds, "body_bytes", self.body_bytes, "at most 1048576")?;
+        check_positive("body_ms", self.body_ms)?;
+        check_positive("connect_ms", self.connect_ms)?;
+        check_bound("routing.bound", &self.routing.bound)?;
         for weight in self.routing.weights.values() {
             let holds = weight.is_finite() && *weight > 0.0;
-            crate::check::rule(holds, "routing.weights", weight, "a number above 0")?;
+            crate::check::check_rule(holds, "routing.weights", weight, "a number above 0")?;
         }
         let gives_back = self.routing.gives_back;
         let holds = (0.0..=10.0).contains(&gives_back);
-        crate::check::rule(holds, "routing.gives_back", gives_back, "a number of 0 to 10")?;
-        positive("routing.quarantine_ends", self.routing.quarantine_ends as u64)?;
-        positive("routing.max_attempts", u64::from(self.routing.max_attempts))
+        crate::check::check_rule(holds, "routing.gives_back", gives_back, "a number of 0 to 10")?;
+        check_positive("routing.quarantine_ends", self.routing.quarantine_ends as u64)?;
+        check_positive("routing.max_attempts", u64::from(self.routing.max_attempts))
     }
 }
--- a/components/settings/src/sidecar.rs
+++ b/components/settings/src/sidecar.rs
@@ -5,46 +5,48 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::check::{address, base, bound, key, name, positive};
+use crate::check::{
+    check_address, check_base_url, check_bound, check_key, check_name, check_positive,
+};
 use crate::{Check, Error};
 
 /// The settings of a sidecar.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sidecar {
-    /// The upstream's name, as the platform's list has it.
+    /// The upstream's name in the platform's list of hosts.
     pub name: Arc<str>,
-    /// Where routers connect: IP number and port.
+    /// The address for routers: IP address and port.
     pub listen: Arc<str>,
-    /// Where operators connect: IP number and port.
+    /// The address for operators: IP address and port.
     pub admin: Arc<str>,
     /// The key that all processes of the fleet share.
     pub link_key: Arc<str>,
-    /// The upstream's own address.
+    /// The base URL of the upstream.
     pub upstream_url: Arc<str>,
-    /// What the upstream is.
+    /// The type of the upstream.
     pub service: Service,
-    /// The platform's list of hosts.
+    /// The URL of the platform's list of hosts.
     pub hosts_url: Arc<str>,
-    /// The labels that tell which upstreams belong to the same pool.
+    /// The labels that all upstreams of the same pool have.
     #[serde(default)]
     pub pool: BTreeMap<Arc<str>, Arc<str>>,
-    /// How often the list of hosts is read, in milliseconds.
+    /// The time between two reads of the list of hosts, in milliseconds.
     #[serde(default = "defaults::hosts_every_ms")]
     pub hosts_every_ms: u64,
-    /// How long a planned stop waits for requests in flight, in milliseconds.
+    /// The time limit for requests in flight during a planned stop, in milliseconds.
     #[serde(default = "defaults::drain_ms")]
     pub drain_ms: u64,
-    /// The collector of traces, such as `http://127.0.0.1:4318`; no spans are
-    /// made without one.
+    /// The URL of the trace collector, such as `http://127.0.0.1:4318`; without one, no spans
+    /// are recorded.
     #[serde(default)]
     pub traces_url: Option<Arc<str>>,
-    /// The decisions' settings.
+    /// Settings of admission decisions.
     #[serde(default)]
     pub admission: admission::Settings,
 }
 
-/// What an upstream is.
+/// The type of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Service {
@@ -66,17 +68,17 @@
 
 impl Check for Sidecar {
     fn check(&self) -> Result<(), Error> {
-        name("name", &self.name)?;
-        address("listen", &self.listen)?;
-        address("admin", &self.admin)?;
-        key("link_key", &self.link_key)?;
-        base("upstream_url", &self.upstream_url)?;
-        base("hosts_url", &self.hosts_url)?;
+        check_name("name", &self.name)?;
+        check_address("listen", &self.listen)?;
+        check_address("admin", &self.admin)?;
+        check_key("link_key", &self.link_key)?;
+        check_base_url("upstream_url", &self.upstream_url)?;
+        check_base_url("hosts_url", &self.hosts_url)?;
         if let Some(url) = &self.traces_url {
-            base("traces_url", url)?;
+            check_base_url("traces_url", url)?;
         }
-        positive("hosts_every_ms", self.hosts_every_ms)?;
-        bound("admission.bound", &self.admission.bound)?;
-        positive("admission.slots", self.admission.slots as u64)
+        check_positive("hosts_every_ms", self.hosts_every_ms)?;
+        check_bound("admission.bound", &self.admission.bound)?;
+        check_positive("admission.slots", self.admission.slots as u64)
     }
 }
--- a/components/sidecar/src/peers.rs
+++ b/components/sidecar/src/peers.rs
@@ -5,7 +5,7 @@
 
 use admission::{Event, Peer};
 use link::Links;
-use store::{Entry, Reading};
+use store::{Entry, Update};
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::task::JoinSet;
 use wire::{Frame, Hello, Report};
@@ -20,8 +20,8 @@
     let every = Duration::from_millis(core.settings.hosts_every_ms);
     let Ok(mut hosts) = store::Hosts::new(&core.settings.hosts_url).await else { return };
     loop {
-        if let Ok(Reading { entries: Some(entries), bytes }) = hosts.read().await {
-            core.metrics.control("hosts", bytes);
+        if let Ok(Update { entries: Some(entries), bytes }) = hosts.fetch().await {
+            core.metrics.record_control("hosts", bytes);
             take(&core, entries);
         }
         tokio::time::sleep(every).await;
@@ -66,7 +66,7 @@
     let (mut call, _) = links.call(&to.name, &to.address, &frame).await.ok()?;
     match call.next().await {
         Ok(Some(answer @ Frame::Pool(pool))) => {
-            core.metrics.control("report", size(&frame) + size(&answer));
+            core.metrics.record_control("report", size(&frame) + size(&answer));
             Some(pool)
         }
         _ => None,
--- a/components/store/src/lib.rs
+++ b/components/store/src/lib.rs
@@ -1,12 +1,12 @@
-//! The platform's services at the edge of a process.
+//! Clients of the platform's services.
 //!
-//! [`Hosts`] reads the lagging list of live and leaving hosts; [`Store`] speaks
-//! the JSON over HTTP form of the etcd v3 key-value service.
+//! [`Hosts`] reads the list of live and leaving hosts; [`Store`] is a client of
+//! the etcd v3 key-value service, in which routers bind idempotency keys.
 
 mod error;
 mod hosts;
 mod store;
 
 pub use error::Error;
-pub use hosts::{Entry, Hosts, Reading};
+pub use hosts::{Entry, Hosts, Update};
 pub use store::Store;
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -1,20 +1,21 @@
 //! Frames between the processes of the fleet.
 //!
-//! A stream of the link carries length-prefixed [`Frame`]s. This crate is the
-//! only user of `bincode`, so that a successor is a change to one file.
+//! Streams of the link and datagrams between routers carry length-prefixed
+//! [`Frame`]s. Datagrams carry hints, which may be lost or wrong: they improve
+//! decisions only. This crate is the only user of `bincode`.
 
 mod codec;
 mod demands;
 mod frame;
 mod pack;
-mod places;
+mod permits;
 
-pub use codec::{Error, MAX_FRAME, Reader, encode};
+pub use codec::{Error, MAX_FRAME_BYTES, Reader, encode};
 pub use demands::Demands;
 pub use frame::{
-    Admitted, Broken, Chunk, Delay, End, Ended, Frame, Head, Heard, Hello, Load, Loads, Look, News,
-    Note, Open, Outcome, Pace, Peer, Refer, Refused, Report, Revision, Stage, Status, Told, Warm,
-    Welcome,
+    Admitted, Broken, Changes, Chunk, Delay, DirectoryUpdate, End, Frame, Head, Hello, Load, Loads,
+    Observation, Observations, Open, Outcome, Pace, Peer, Query, Referral, Refused, Report,
+    Revision, Stage, Status, UpstreamCrash, WarmPrefixes, Welcome,
 };
 pub use pack::{pack, unpack};
-pub use places::{Claim, Claims, Finish, Held, Release, Short, Turn, Verdict, Verdicts};
+pub use permits::{Claim, ClaimState, Claims, Finish, Held, Release, Saturated, Verdict, Verdicts};
--- a/src/bin/silverstack-standin.rs
+++ b/src/bin/silverstack-standin.rs
@@ -5,7 +5,7 @@
 
 use gumdrop::Options;
 use silverstack::cli;
-use standin::{Engine, EngineSettings, Hosts, Plain, Server, Store};
+use standin::{Engine, EngineSettings, Hosts, PlainService, Server, Store};
 
 /// The program's name.
 const NAME: &str = "silverstack-standin";
@@ -59,20 +59,20 @@
             };
             Engine::start(listen, settings).map(|it| serve(it.server()))
         }
-        "plain" => Plain::start(listen, &arguments.name, step).map(|it| serve(it.server())),
+        "plain" => PlainService::start(listen, &arguments.name, step).map(|it| serve(it.server())),
         "hosts" => {
             Hosts::start(listen, Duration::from_millis(arguments.lag)).map(|it| serve(it.server()))
         }
         "store" => Store::start(listen).map(|it| serve(it.server())),
-        other => return cli::fail(NAME, format!("{other} is not a stand-in"), cli::USAGE),
+        other => return cli::fail(NAME, format!("{other} is not a stand-in"), cli::EXIT_USAGE),
     };
     if let Err(fault) = served {
-        return cli::fail(NAME, fault, cli::USAGE);
+        return cli::fail(NAME, fault, cli::EXIT_USAGE);
     }
-    if let Err(fault) = process::Stop::signalled().await {
-        return cli::fail(NAME, fault, cli::FAILED);
+    if let Err(fault) = process::Shutdown::wait_for_signal().await {
+        return cli::fail(NAME, fault, cli::EXIT_FAILED);
     }
-    ExitCode::from(cli::OK)
+    ExitCode::from(cli::EXIT_OK)
 }
 
 fn serve(server: &Server) {
--- a/src/local/fleet.rs
+++ b/src/local/fleet.rs
@@ -11,7 +11,7 @@
 use settings::Service;
 use sidecar::Sidecar;
 use snafu::{ResultExt, Snafu};
-use standin::{Engine, EngineSettings, Hosts, Plain, Store};
+use standin::{Engine, EngineSettings, Hosts, PlainService, Store};
 use tokio::task::JoinSet;
 
 /// Any free port of this host.
@@ -89,12 +89,12 @@
     hosts: Hosts,
     store: Store,
     engines: Vec<Engine>,
-    services: Vec<Plain>,
+    services: Vec<PlainService>,
     routers: JoinSet<bool>,
-    router_stops: Vec<process::Stop>,
+    router_stops: Vec<process::Shutdown>,
     router_urls: Vec<String>,
     sidecars: JoinSet<usize>,
-    sidecar_stops: Vec<process::Stop>,
+    sidecar_stops: Vec<process::Shutdown>,
     intents: PathBuf,
 }
 
@@ -132,7 +132,7 @@
     }
 
     /// The base URLs of the routers.
-    pub fn routers(&self) -> &[String] {
+    pub fn router_urls(&self) -> &[String] {
         &self.router_urls
     }
 
@@ -151,11 +151,11 @@
     /// were cut.
     pub async fn stop(mut self) -> usize {
         let mut cut = 0;
-        self.router_stops.iter().for_each(process::Stop::ask);
+        self.router_stops.iter().for_each(process::Shutdown::request);
         while let Some(finished) = self.routers.join_next().await {
             cut += usize::from(!finished.unwrap_or(false));
         }
-        self.sidecar_stops.iter().for_each(process::Stop::ask);
+        self.sidecar_stops.iter().for_each(process::Shutdown::request);
         while let Some(left) = self.sidecars.join_next().await {
             cut += left.unwrap_or(1);
         }
@@ -183,7 +183,7 @@
 
     fn add_service(&mut self, place: usize) -> Result<(), Error> {
         let name = format!("pickup-{}", place + 1);
-        let plain = Plain::start(ANY_PORT, &name, PLAIN_LATENCY).context(StandinSnafu)?;
+        let plain = PlainService::start(ANY_PORT, &name, PLAIN_LATENCY).context(StandinSnafu)?;
         let pool = BTreeMap::from([("service".into(), "pickup".into())]);
         self.add_sidecar(&name, place, &plain.server().url(), Service::Plain, &pool)?;
         self.services.push(plain);
