--- a/components/router/src/background.rs
+++ b/components/router/src/background.rs
@@ -37,7 +37,7 @@
         if let Some(direct) = &core.settings.direct {
             let (saver, pending) = Saver::new();
             tasks.spawn_local(feed::run(core.clone(), Millis(direct.poll_interval_ms), saver));
-            tasks.spawn_local(persistence::save_hosts(core.clone(), pending.clone()));
+            tasks.spawn_local(persistence::save_upstreams(core.clone(), pending.clone()));
             tasks.spawn_local(persistence::save_prefixes(core.clone(), pending));
             tasks.spawn_local(announcement::run(core.clone()));
             tasks.spawn_local(hints::receive(core.clone()));
--- a/components/router/src/core.rs
+++ b/components/router/src/core.rs
@@ -45,7 +45,7 @@
     /// The latest settings.
     pub reload: watch::Receiver<settings::Router>,
     pub store: Option<store::Store>,
-    /// Set where upstreams are reached directly.
+    /// Set if the router runs on a platform and so reaches upstreams directly.
     clients: Option<Clients>,
     /// The other routers, as sources of the store's content.
     fleet: Fleet,
@@ -236,7 +236,7 @@
         }
     }
 
-    /// Broadcasts that work was completed, in addition to the report in the store.
+    /// Broadcasts that work is cleared, in addition to the report in the store.
     fn broadcast_cleared(&self, fingerprint: u64) {
         if let Some(peers) = self.peers() {
             let bytes = peers.broadcast(Frame::Cleared(vec![fingerprint]), self.clock.now());
@@ -290,7 +290,7 @@
         self.stop.is_requested() || (kind == Kind::StaleConfiguration && has_current_peer())
     }
 
-    /// Whether upstreams are reached directly.
+    /// Whether the router runs on a platform and so reaches upstreams directly.
     pub(crate) fn is_direct(&self) -> bool {
         self.clients.is_some()
     }
@@ -367,6 +367,7 @@
         !self.stop.is_requested() && self.state.borrow().is_ready(self.clock.now())
     }
 
+    /// Chooses the owner of a new idempotency key.
     pub(crate) fn owner(&self, workspace: &str, kind: &str, seed: &str) -> Option<Owner> {
         self.state.borrow_mut().choose_owner(workspace, kind, seed, self.clock.now())
     }
--- a/components/router/src/crashes.rs
+++ b/components/router/src/crashes.rs
@@ -2,6 +2,9 @@
 //!
 //! Reports go through the platform's store, one entry per router, so that they also reach routers
 //! that start later or miss broadcasts. Quarantine relies on them.
+//!
+//! Work is what requests with the same fingerprint ask for. It is cleared once one of them was
+//! answered in full.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -64,8 +67,8 @@
         }
     }
 
-    /// Restores what this router had reported before its restart.
-    pub(crate) fn restore(&self, crashes: &[Crash]) {
+    /// Loads what this router had reported before its restart.
+    pub(crate) fn load(&self, crashes: &[Crash]) {
         self.push(crashes);
     }
 
--- a/components/router/src/direct.rs
+++ b/components/router/src/direct.rs
@@ -24,9 +24,9 @@
 /// can still be tried. Longer responses are forwarded as they arrive.
 const MAX_BUFFERED: usize = 64 * 1024;
 
-/// The attempt ended without a final reply.
+/// The attempt ended without a valid final reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct ConnectionFailure {
+pub(crate) struct AttemptFailure {
     /// Whether any byte of the request may have reached the upstream.
     pub sent: bool,
 }
@@ -118,7 +118,7 @@
     /// # Errors
     ///
     /// The attempt ended before its last reply.
-    pub(crate) async fn next(&mut self) -> Result<Reply, ConnectionFailure> {
+    pub(crate) async fn next(&mut self) -> Result<Reply, AttemptFailure> {
         loop {
             if let Some((reply, progress)) = self.ready.pop_front() {
                 self.progress = progress;
@@ -129,7 +129,7 @@
                     Ok(answer) => self.read_head(answer)?,
                     Err(error) => {
                         self.stage = Stage::Done;
-                        return Err(ConnectionFailure { sent: error.may_have_been_sent() });
+                        return Err(AttemptFailure { sent: error.may_have_been_sent() });
                     }
                 },
                 Stage::Body(answer) => {
@@ -142,13 +142,13 @@
     }
 
     /// Reads the head of the response.
-    fn read_head(&mut self, mut answer: Answer) -> Result<(), ConnectionFailure> {
+    fn read_head(&mut self, mut answer: Answer) -> Result<(), AttemptFailure> {
         self.stage = Stage::Done;
         let status = answer.status;
         let headers = std::mem::take(&mut answer.headers);
         let feedback = self.core.edges().dialect.parse_response(status, &headers);
         if feedback.id.as_ref().is_some_and(|id| *id != self.request) {
-            return Err(ConnectionFailure { sent: true });
+            return Err(AttemptFailure { sent: true });
         }
         // The feedback of another upstream at this address must not be attributed to this one.
         if status != MISDIRECTED {
@@ -160,7 +160,7 @@
         }
         let success = (200..300).contains(&status);
         if feedback.id.is_none() || (success && !feedback.signed) {
-            return Err(ConnectionFailure { sent: true });
+            return Err(AttemptFailure { sent: true });
         }
         if !success {
             self.events = None;
@@ -191,12 +191,12 @@
         }
     }
 
-    fn handle_part(&mut self, part: Option<Result<Bytes, Error>>) -> Result<(), ConnectionFailure> {
+    fn handle_part(&mut self, part: Option<Result<Bytes, Error>>) -> Result<(), AttemptFailure> {
         match part {
             Some(Ok(bytes)) => self.handle_bytes(&bytes),
             Some(Err(_)) => {
                 self.stage = Stage::Done;
-                Err(ConnectionFailure { sent: true })
+                Err(AttemptFailure { sent: true })
             }
             None => self.finish(),
         }
@@ -204,9 +204,9 @@
 
     /// Handles bytes of the body: complete events of a stream are forwarded at once, anything else
     /// is buffered up to [`MAX_BUFFERED`].
-    fn handle_bytes(&mut self, bytes: &[u8]) -> Result<(), ConnectionFailure> {
+    fn handle_bytes(&mut self, bytes: &[u8]) -> Result<(), AttemptFailure> {
         if let Some(events) = &mut self.events {
-            let complete = events.push(bytes).map_err(|_| ConnectionFailure { sent: true });
+            let complete = events.push(bytes).map_err(|_| AttemptFailure { sent: true });
             let complete = complete.inspect_err(|_| self.stage = Stage::Done)?;
             let last = self.events.as_ref().and_then(Splitter::last_id);
             self.forward(complete, last);
@@ -244,10 +244,10 @@
     }
 
     /// Handles the regular end of the body.
-    fn finish(&mut self) -> Result<(), ConnectionFailure> {
+    fn finish(&mut self) -> Result<(), AttemptFailure> {
         self.stage = Stage::Done;
         if self.events.as_ref().is_some_and(Splitter::is_partial) {
-            return Err(ConnectionFailure { sent: true });
+            return Err(AttemptFailure { sent: true });
         }
         let buffer = self.buffer.split().freeze();
         self.forward(buffer, None);
--- a/components/router/src/feed.rs
+++ b/components/router/src/feed.rs
@@ -29,8 +29,7 @@
 /// How long a poll waits for a change.
 const MAX_POLL_WAIT: Millis = Millis(250);
 
-/// The longest pause between two polls of a router with subscribers, which learn of changes one hop
-/// later.
+/// The longest pause between two polls of the store; subscribers see changes one hop later.
 const MAX_POLLER_PAUSE: Millis = Millis(800);
 
 /// Outages longer than this are followed by a full read instead of the history.
@@ -48,11 +47,11 @@
 
 /// Follows the store until shutdown.
 pub(crate) async fn run(core: Rc<Core>, interval: Millis, saver: Saver) {
-    let validity =
+    let confirmation_ttl =
         core.settings.direct.as_ref().map_or(interval, |direct| Millis(direct.confirmation_ttl_ms));
     let mut feed = Feed {
         core,
-        freshness: Freshness::new(validity),
+        freshness: Freshness::new(confirmation_ttl),
         listing: Listing::default(),
         routers: BTreeSet::new(),
         source: None,
@@ -88,13 +87,13 @@
     core: Rc<Core>,
     freshness: Freshness,
     listing: Listing,
-    /// The known routers, as last passed to the reducer.
+    /// The known routers, as last passed to the routing state.
     routers: BTreeSet<Arc<str>>,
     /// The router that served this one last; `None` for the store.
     source: Option<Arc<str>>,
     /// The evacuated failure domains.
     evacuated: BTreeSet<Arc<str>>,
-    /// The evacuated failure domains, as last passed to the reducer.
+    /// The evacuated failure domains, as last passed to the routing state.
     applied_evacuated: BTreeSet<Arc<str>>,
     /// The largest number of routers counted so far.
     max_routers: usize,
@@ -189,7 +188,7 @@
             self.scope.reduce(self.core.clock.now());
         }
         self.apply_answer(batch, full);
-        self.full_read_due = self.scope.restore_if_due(self.core.clock.now());
+        self.full_read_due = self.scope.widen_if_due(self.core.clock.now());
         if self.end_incomplete() {
             self.revision = None;
         }
@@ -253,7 +252,8 @@
     /// an entry's grace period ends earlier.
     fn next_pause(&self, interval: Millis) -> Millis {
         let now = self.core.clock.now();
-        // A slow or failed poll leaves less time for the next one.
+        // Polls are twice as frequent while the scope is reduced, so that a slow or failed poll
+        // does not let the confirmation expire.
         let interval = if self.scope.is_reduced() { Millis(interval.0 / 2) } else { interval };
         let next = self.listing.next_expiry().into_iter().chain(self.incomplete_until).min();
         next.map_or(interval, |at| now.until(at).min(interval))
--- a/components/router/src/feed/facts.rs
+++ b/components/router/src/feed/facts.rs
@@ -29,7 +29,7 @@
     /// The configuration of the highest generation; only this one is compiled.
     newest: Option<Box<Document>>,
     /// Upstreams saved by the router that writes for the fleet.
-    saved_hosts: Vec<Host>,
+    saved_upstreams: Vec<Host>,
     /// Warm prefixes saved by the same router.
     saved_prefixes: Bytes,
 }
@@ -58,16 +58,16 @@
         let is_first = !std::mem::replace(&mut self.has_read, true);
         let mechanisms = self.core.settings.routing.mechanisms;
         if is_first && mechanisms.upstreams {
-            deferred.changed |= self.restore_hosts(deferred.saved_hosts, now);
+            deferred.changed |= self.load_upstreams(deferred.saved_upstreams, now);
         }
         deferred.changed |= self.listing.expire(now);
         if deferred.changed {
-            self.publish_hosts(batch.revision.number);
+            self.publish_upstreams(batch.revision.number);
         }
         self.update_evacuated(batch.revision.number);
         self.mark_cold(deferred.cold);
         if is_first && mechanisms.parts {
-            self.restore_prefixes(&deferred.saved_prefixes);
+            self.load_prefixes(&deferred.saved_prefixes);
         }
         self.revision = Some(batch.revision);
         // One router writes for the whole fleet.
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Restores saved upstreams that are not listed at startup; returns whether there are any.
-    fn restore_hosts(&mut self, hosts: Vec<Host>, now: Millis) -> bool {
+    /// Loads saved upstreams that are not listed at startup; returns whether there are any.
+    fn load_upstreams(&mut self, hosts: Vec<Host>, now: Millis) -> bool {
         let remembered = hosts.len();
         let missing = self.listing.restore(hosts, now);
         if missing {
@@ -88,8 +88,8 @@
         missing
     }
 
-    /// Restores saved warm prefixes at startup.
-    fn restore_prefixes(&self, saved: &[u8]) {
+    /// Loads saved warm prefixes at startup.
+    fn load_prefixes(&self, saved: &[u8]) {
         let warm = persistence::decode(saved);
         let parts: usize = warm.iter().map(|warm| warm.prefixes.len()).sum();
         if parts > 0 {
@@ -142,11 +142,11 @@
                     deferred.newest = Some(document);
                 }
             }
-            Fact::SavedHosts(hosts) => deferred.saved_hosts = hosts,
+            Fact::SavedHosts(hosts) => deferred.saved_upstreams = hosts,
             Fact::SavedPrefixes(parts) => deferred.saved_prefixes = parts,
             Fact::Crashes { router, crashes } => {
                 if router == self.core.settings.name {
-                    self.core.crashes.restore(&crashes);
+                    self.core.crashes.load(&crashes);
                 }
                 self.core.apply(Event::Crashes(crashes));
             }
@@ -176,7 +176,7 @@
         if let Some(revision) = self.revision
             && self.listing.expire(now)
         {
-            self.publish_hosts(revision.number);
+            self.publish_upstreams(revision.number);
         }
     }
 
@@ -186,8 +186,8 @@
         self.freshness.grace_start(confirmation_age, self.core.clock.now())
     }
 
-    /// Passes the upstreams to the reducer.
-    fn publish_hosts(&self, revision: u64) {
+    /// Passes the upstreams to the routing state.
+    fn publish_upstreams(&self, revision: u64) {
         let hosts = self.listing.hosts();
         info!("upstreams changed", kv: {
             upstreams = hosts.len(),
@@ -197,7 +197,7 @@
         self.core.apply(Event::Hosts(hosts));
     }
 
-    /// Passes changed evacuations of failure domains to the reducer.
+    /// Passes changed evacuations of failure domains to the routing state.
     fn update_evacuated(&mut self, revision: u64) {
         if self.evacuated == self.applied_evacuated {
             return;
@@ -214,7 +214,7 @@
         self.core.apply(Event::Evacuated(self.evacuated.clone()));
     }
 
-    /// Passes cold upstreams to the reducer.
+    /// Passes cold upstreams to the routing state.
     fn mark_cold(&self, cold: Vec<(Arc<str>, Millis)>) {
         for (upstream, remaining) in cold {
             self.core.metrics.record_change("upstream_cold");
@@ -223,8 +223,8 @@
         }
     }
 
-    /// Passes a changed set of routers to the hints, the quotas of cold upstreams and the retry
-    /// budget.
+    /// Passes a changed set of routers to the peers and the routing state, and their number if it
+    /// grew.
     pub(super) fn update_routers(&mut self) {
         let known = self.core.fleet().routers(self.core.clock.now());
         self.update_router_count();
@@ -240,10 +240,10 @@
         self.core.apply(Event::Members { own, announced: self.routers.clone() });
     }
 
-    /// Passes the number of routers that share the retry budget to the reducer. The number never
-    /// decreases at runtime: announcements expire in an outage of the store while their routers
-    /// still run, and subscribers of a stopped poller are missing from all announcements for a
-    /// moment.
+    /// Passes the number of routers that share the retry budget to the routing state. The number
+    /// never decreases at runtime: announcements expire in an outage of the store while their
+    /// routers still run, and subscribers of a stopped poller are missing from all announcements
+    /// for a moment.
     fn update_router_count(&mut self) {
         let routers = self.core.fleet().max_routers();
         if routers <= self.max_routers {
@@ -254,7 +254,7 @@
         self.core.apply(Event::RouterCount(routers));
     }
 
-    /// Compiles a configuration and passes it to the reducer.
+    /// Compiles a configuration and passes it to the routing state.
     fn configure(&self, document: Document, revision: u64) {
         let generation = document.generation;
         // An earlier generation is never applied. Full reads contain the current one.
--- a/components/router/src/feed/query.rs
+++ b/components/router/src/feed/query.rs
@@ -22,7 +22,8 @@
     pub(super) async fn query(&mut self, peer: &Peer, sent_at: Millis) -> Millis {
         let fleet = self.core.fleet();
         let confirmation_age_ms = self.core.confirmation_age_ms();
-        // A poller polls the store again soon.
+        // A poller polls the store again soon, so its query must not wait long: without an age, the
+        // wait is the shortest.
         let confirmation_age = confirmation_age_ms.map(Millis).filter(|_| !fleet.is_poller());
         let left = self.listing.next_expiry().map(|at| sent_at.until(at));
         let wait = self.freshness.wait(confirmation_age, left);
@@ -111,8 +112,8 @@
             return;
         }
         let from = name.as_deref().unwrap_or("the store");
-        let proof_ms = confirmation_age.map_or(u64::MAX, |age| age.0);
-        info!("store source changed", kv: { from, proof_ms });
+        let age_ms = confirmation_age.map_or(u64::MAX, |age| age.0);
+        info!("store source changed", kv: { from, proof_ms = age_ms });
         self.core.fleet().set_source(source);
         self.source = name;
     }
--- a/components/router/src/feed/startup.rs
+++ b/components/router/src/feed/startup.rs
@@ -4,12 +4,12 @@
 
 use super::{Feed, RETRY_INTERVAL};
 
-/// The time over which routers of a new fleet begin to poll, strongest first; later ones subscribe
-/// to earlier ones.
+/// Spread of the routers' turns to become pollers in a new fleet; stronger routers have an earlier
+/// minimum. Later routers subscribe to earlier ones.
 const FIRST_SPREAD_MS: u64 = 1_000;
 
-/// The same while callers are waiting.
-const URGENT_SPREAD_MS: u64 = 300;
+/// Spread of the turns after the store was unreachable at startup, whatever the strength.
+const RECOVERY_SPREAD_MS: u64 = 300;
 
 impl Feed {
     /// Looks up the current pollers. Becomes one if there is none, or if this router was one before
@@ -37,18 +37,18 @@
     }
 
     /// Waits for this router's turn to become a poller; returns how many pollers there are then.
-    /// Checks repeatedly meanwhile if callers are waiting.
-    async fn wait_for_pollers(&mut self, strength: u32, is_urgent: bool) -> Option<usize> {
+    /// Checks for pollers repeatedly meanwhile if the store was unreachable at startup.
+    async fn wait_for_pollers(&mut self, strength: u32, was_unreachable: bool) -> Option<usize> {
         let hash = placement::key("first start", &self.core.settings.name);
-        let turn = if is_urgent {
-            hash % URGENT_SPREAD_MS
+        let turn = if was_unreachable {
+            hash % RECOVERY_SPREAD_MS
         } else {
             hash % FIRST_SPREAD_MS + FIRST_SPREAD_MS / u64::from(strength.max(1))
         };
         let turn = self.core.clock.now() + Millis(turn);
         loop {
             let left = self.core.clock.now().until(turn);
-            let pause = if is_urgent { left.min(RETRY_INTERVAL) } else { left };
+            let pause = if was_unreachable { left.min(RETRY_INTERVAL) } else { left };
             tokio::time::sleep(pause.duration()).await;
             let count = self.read_announcements(true).await;
             if count != Some(0) {
--- a/components/router/src/fleet.rs
+++ b/components/router/src/fleet.rs
@@ -178,7 +178,7 @@
     }
 
     /// The routers that queries are referred to.
-    pub(crate) fn relays(&self) -> Vec<Peer> {
+    pub(crate) fn referral_targets(&self) -> Vec<Peer> {
         self.subscribers.borrow().relays().cloned().collect()
     }
 
@@ -208,7 +208,7 @@
     }
 
     /// The current revision.
-    pub(crate) fn position(&self) -> Option<Revision> {
+    pub(crate) fn revision(&self) -> Option<Revision> {
         self.mirror.borrow().position()
     }
 
@@ -248,7 +248,7 @@
         after: Option<Revision>,
         now: Millis,
     ) -> Result<(Bytes, bool), wire::Error> {
-        let revision = self.position().unwrap_or_default();
+        let revision = self.revision().unwrap_or_default();
         let after = after.filter(|revision| self.mirror.borrow().covers(*revision));
         let full = after.is_none();
         let mut answers = self.answers.borrow_mut();
@@ -277,7 +277,7 @@
 
     /// Caches a full answer of another router, for queries of others.
     pub(crate) fn cache_packed(&self, facts: Bytes, now: Millis) {
-        let Some(revision) = self.position().filter(|_| !self.is_poller()) else { return };
+        let Some(revision) = self.revision().filter(|_| !self.is_poller()) else { return };
         self.answers.borrow_mut().insert(None, revision, facts, now);
     }
 }
--- a/components/router/src/hints.rs
+++ b/components/router/src/hints.rs
@@ -77,8 +77,8 @@
 /// Sends the load observations from answers.
 fn publish_observations(core: &Core, peers: &Peers) {
     let observations = core.take_observations();
-    // Hints without observations only confirm the configuration, which is of use to neighbours of a
-    // poller only.
+    // Without loads, the frame only reports that the configuration is current. In a large fleet
+    // only pollers send that.
     if peers.is_large() && observations.upstreams.is_empty() && !core.fleet().is_poller() {
         return;
     }
@@ -229,8 +229,8 @@
     core.apply(Event::Crashes(crashes));
 }
 
-/// Handles completed work reported by another router, and withdraws this router's own reports of
-/// its crashes.
+/// Handles cleared work reported by another router, and withdraws this router's reports of crashes
+/// during that work.
 fn receive_cleared(core: &Core, fingerprints: &[u64], from: SocketAddr) {
     let at = core.clock.now();
     info!("another router cleared work", kv: {
@@ -246,8 +246,10 @@
 /// Logs a summary of the warm prefixes received in the last interval, as one line per hint would be
 /// too many in a large fleet.
 fn log_hints(peers: &Peers) {
-    let Tally { reading, read, parts } = peers.take_tally();
-    if reading + read > 0 {
-        info!("warm prefixes received", kv: { reading, read, parts });
+    let Tally { prefilling, cached, prefixes } = peers.take_tally();
+    if prefilling + cached > 0 {
+        info!("warm prefixes received", kv: {
+            reading = prefilling, read = cached, parts = prefixes,
+        });
     }
 }
--- a/components/router/src/ingress.rs
+++ b/components/router/src/ingress.rs
@@ -159,7 +159,7 @@
         Step::Head(head, _) => head,
         Step::Failed(answer) | Step::Aborted(answer) => return failure(core, &answer),
         Step::Bytes(_) | Step::Finished => {
-            unreachable!("the reducer gives a head first")
+            unreachable!("the routing state sends a head first")
         }
     };
     let mut builder = answer::forwarded(&head);
--- a/components/router/src/lib.rs
+++ b/components/router/src/lib.rs
@@ -1,4 +1,4 @@
-//! The router process: I/O around the `routing` reducer.
+//! The router process: I/O around the state machine of the `routing` crate.
 //!
 //! Everything but the wait for signals runs on the one thread of the HTTP server, so no state is
 //! shared between threads.
--- a/components/router/src/peers.rs
+++ b/components/router/src/peers.rs
@@ -2,7 +2,8 @@
 //!
 //! A hint is one datagram to each other router, or in large fleets to each neighbour, which
 //! forwards it. Datagrams are neither acknowledged nor sent again: a lost hint of warm prefixes
-//! costs a copy or a second read, and loads that have not been received for a second are ignored.
+//! costs a copy or a second prefill, and loads that have not been received for a second are
+//! ignored.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -41,12 +42,12 @@
 /// Counts of received hints of warm prefixes.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Tally {
-    /// Hints that upstreams were reading prefixes.
-    pub reading: u64,
-    /// Hints that upstreams had read prefixes.
-    pub read: u64,
+    /// Hints that upstreams were prefilling prefixes.
+    pub prefilling: u64,
+    /// Hints that upstreams had cached prefixes.
+    pub cached: u64,
     /// Prefixes in all of these hints.
-    pub parts: usize,
+    pub prefixes: usize,
 }
 
 impl Peers {
@@ -184,10 +185,10 @@
     pub(crate) fn tally(&self, warm: &WarmPrefixes) {
         let mut tally = self.tally.get();
         match warm.stage {
-            Stage::Prefilling => tally.reading += 1,
-            Stage::Cached => tally.read += 1,
+            Stage::Prefilling => tally.prefilling += 1,
+            Stage::Cached => tally.cached += 1,
         }
-        tally.parts += warm.prefixes.len();
+        tally.prefixes += warm.prefixes.len();
         self.tally.set(tally);
     }
 
--- a/components/router/src/permits.rs
+++ b/components/router/src/permits.rs
@@ -1,5 +1,7 @@
 //! Permits of saturated pools: the claims of this router, and the issuers for the pools that it
 //! owns.
+//!
+//! Metrics, settings and `/status` say `place` for a permit and `short` for saturated.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -19,8 +21,10 @@
 /// How often claims and issuers are processed while a pool is saturated.
 const STEP_INTERVAL: Millis = Millis(5);
 
-/// How often a saturation is broadcast, and how long a broadcast is valid.
+/// How often a saturation is broadcast.
 const BROADCAST_INTERVAL: Millis = Millis(400);
+
+/// How long a broadcast is valid, and how long an ended saturation is kept.
 const SATURATION_TTL: Millis = Millis(1_500);
 
 /// How long the owner and the upstreams of a pool are cached.
@@ -31,7 +35,7 @@
 
 /// The owner of a pool, as seen by this router.
 #[derive(Clone, Debug)]
-struct Owner {
+struct PoolOwner {
     name: Arc<str>,
     /// `None` if this router is the owner.
     address: Option<SocketAddr>,
@@ -40,17 +44,18 @@
 
 /// A pool owned by this router.
 #[derive(Debug)]
-struct Owned {
+struct OwnedPool {
     issuer: Issuer,
     /// Addresses of the routers with claims.
     routers: HashMap<Arc<str>, SocketAddr>,
     broadcast_at: Option<Millis>,
-    listed_at: Option<Millis>,
+    /// When the issuer last got the upstreams of the pool.
+    upstreams_set_at: Option<Millis>,
     /// When the saturation ended. Claims of routers that don't know yet are still decided.
     recovered_at: Option<Millis>,
 }
 
-impl Owned {
+impl OwnedPool {
     /// The broadcast about the pool's saturation, if one is due.
     fn saturation(&mut self, core: &Core, pool: &Arc<str>, now: Millis) -> Option<Saturated> {
         let has_recovered = self.issuer.has_recovered(now);
@@ -78,8 +83,8 @@
 #[derive(Debug, Default)]
 pub(crate) struct Permits {
     requesters: RefCell<BTreeMap<Arc<str>, Requester>>,
-    owned: RefCell<BTreeMap<Arc<str>, Owned>>,
-    owners: RefCell<BTreeMap<Arc<str>, Owner>>,
+    owned: RefCell<BTreeMap<Arc<str>, OwnedPool>>,
+    owners: RefCell<BTreeMap<Arc<str>, PoolOwner>>,
     waiting: RefCell<HashMap<u64, oneshot::Sender<Resolution>>>,
     wake: Notify,
 }
@@ -152,7 +157,7 @@
     /// A snapshot of the pools owned by this router, for `/status`.
     pub(crate) fn snapshot(&self, now: Millis) -> Vec<serde_json::Value> {
         let owned = self.owned.borrow();
-        let to_json = |(pool, owned): (&Arc<str>, &Owned)| {
+        let to_json = |(pool, owned): (&Arc<str>, &OwnedPool)| {
             let Snapshot { limit, in_flight, waiting, rate } = owned.issuer.snapshot(now);
             serde_json::json!({
                 "pool": &**pool, "limit": limit, "in_flight": in_flight, "waiting": waiting,
@@ -232,7 +237,7 @@
     }
 
     /// The current owner of a pool.
-    fn owner(&self, core: &Core, pool: &Arc<str>) -> Owner {
+    fn owner(&self, core: &Core, pool: &Arc<str>) -> PoolOwner {
         let now = core.clock.now();
         let known = self.owners.borrow().get(pool).cloned();
         if let Some(owner) = known.clone().filter(|owner| owner.cached_at.until(now) < CACHE_TTL) {
@@ -241,7 +246,7 @@
         let routers = core.fleet().routers(now);
         let own = &core.settings.name;
         let remote_owner = permits::owner(pool, &routers).filter(|owner| owner.name != *own);
-        let owner = Owner {
+        let owner = PoolOwner {
             name: remote_owner.map_or_else(|| own.clone(), |owner| owner.name.clone()),
             address: remote_owner.and_then(|owner| owner.hints),
             cached_at: now,
@@ -260,7 +265,7 @@
             let mut owned = self.owned.borrow_mut();
             if !owned.contains_key(&claims.pool)
                 && claims.claims.is_empty()
-                && !reports_saturation(claims)
+                && !has_no_permits(claims)
             {
                 // The message belongs to a saturation that has ended.
                 return;
@@ -269,18 +274,18 @@
                 info!("pool is saturated", kv: { pool = &*claims.pool });
                 core.metrics.record_change("pool_short");
                 let issuer = Issuer::new(core.settings.routing.places, now);
-                Owned {
+                OwnedPool {
                     issuer,
                     routers: HashMap::new(),
                     broadcast_at: None,
-                    listed_at: None,
+                    upstreams_set_at: None,
                     recovered_at: None,
                 }
             });
             if let Some(from) = from {
                 owned.routers.insert(claims.router.clone(), from);
             }
-            if claims.claims.is_empty() && reports_saturation(claims) {
+            if claims.claims.is_empty() && has_no_permits(claims) {
                 owned.issuer.mark_saturated(now);
             }
             owned.issuer.receive(claims, now)
@@ -292,8 +297,8 @@
     fn decide(&self, core: &Core, pool: &Arc<str>, now: Millis) {
         let mut pools = self.owned.borrow_mut();
         let Some(owned) = pools.get_mut(pool) else { return };
-        if owned.listed_at.is_none_or(|at| at.until(now) >= CACHE_TTL) {
-            owned.listed_at = Some(now);
+        if owned.upstreams_set_at.is_none_or(|at| at.until(now) >= CACHE_TTL) {
+            owned.upstreams_set_at = Some(now);
             owned.issuer.set_upstreams(&core.available_slots(pool));
         }
         let decisions = owned.issuer.decide(now);
@@ -350,8 +355,9 @@
     core.metrics.record_control(kind, bytes);
 }
 
-/// Whether a message reports that a pool became saturated.
-fn reports_saturation(claims: &Claims) -> bool {
+/// Whether a message has neither held permits nor releases. Without claims, it reports a
+/// saturation.
+fn has_no_permits(claims: &Claims) -> bool {
     claims.held.is_empty() && claims.releases.is_empty()
 }
 
@@ -366,11 +372,11 @@
                 upstream = &**upstream, waited_ms,
             });
         }
-        ClaimState::Refused(back_ms) => {
+        ClaimState::Refused(retry_after_ms) => {
             core.metrics.record_change("place_refused");
             info!("permit refused", kv: {
                 pool = &**pool, router, number = decision.number, workspace,
-                waited_ms, back_ms = *back_ms,
+                waited_ms, back_ms = *retry_after_ms,
             });
         }
         ClaimState::Queued => {}
--- a/components/router/src/persistence.rs
+++ b/components/router/src/persistence.rs
@@ -15,7 +15,7 @@
 use crate::core::Core;
 
 /// Minimum time between two writes of the upstreams, so that changes are batched.
-const HOSTS_INTERVAL: Millis = Millis(3_000);
+const UPSTREAMS_INTERVAL: Millis = Millis(3_000);
 
 /// Minimum time between two writes of the warm prefixes, which change with most requests.
 const PREFIXES_INTERVAL: Millis = Millis(2_000);
@@ -75,7 +75,7 @@
 }
 
 /// Saves the upstreams on each change until shutdown.
-pub(crate) async fn save_hosts(core: Rc<Core>, pending: Pending) {
+pub(crate) async fn save_upstreams(core: Rc<Core>, pending: Pending) {
     let mut hosts = pending.hosts;
     while hosts.changed().await.is_ok() {
         let known = hosts.borrow_and_update().clone();
@@ -85,7 +85,7 @@
             // The next change causes another write.
             Err(error) => warn!("upstreams not remembered", kv: { reason = error.to_string() }),
         }
-        tokio::time::sleep(HOSTS_INTERVAL.duration()).await;
+        tokio::time::sleep(UPSTREAMS_INTERVAL.duration()).await;
     }
 }
 
--- a/components/router/src/query_client.rs
+++ b/components/router/src/query_client.rs
@@ -26,7 +26,7 @@
     Link { source: link::Error },
     #[snafu(display("no answer in time"))]
     Timeout,
-    /// The answer has an unexpected form.
+    /// The peer has no address, or its answer has an unexpected form.
     #[snafu(display("unexpected answer"))]
     Unexpected,
     /// The facts of the answer can't be decoded.
--- a/components/router/src/query_server.rs
+++ b/components/router/src/query_server.rs
@@ -17,7 +17,8 @@
 /// The longest time that a query waits for changes.
 const MAX_WAIT: Millis = Millis(5_000);
 
-/// How much newer a confirmation must be than that of the querying router to be worth an answer.
+/// How much newer a confirmation must be than that of the querying router to be worth an
+/// answer. Also the pause after a failed accept.
 const MIN_CONFIRMATION_GAIN: Millis = Millis(200);
 
 /// The most bytes of facts in one frame.
@@ -76,20 +77,21 @@
     let result = if core.fleet().register(query.routers.clone(), core.clock.now()) {
         answer_query(&core, &query, &mut sink).await
     } else {
-        refer(core.fleet().relays(), &mut sink).await
+        refer(core.fleet().referral_targets(), &mut sink).await
     };
     if let Err(error) = result {
         debug!("query not answered", kv: { peer = &*sender, fault = error.to_string() });
     }
 }
 
-/// Refers the querying router to others.
+/// Refers the querying router to others, if there are any.
 async fn refer(routers: Vec<Peer>, sink: &mut Sink) -> Result<(), link::Error> {
     sink.finish(&Frame::Referral(Referral { routers })).await
 }
 
 /// Answers with the changes as soon as there are any, or the confirmation is newer than the
-/// querying router's.
+/// querying router's; otherwise at the end of the wait. An empty referral means that this router
+/// has no answer.
 async fn answer_query(core: &Core, query: &Query, sink: &mut Sink) -> Result<(), link::Error> {
     let received_at = core.clock.now();
     let after = query.after.map(from_wire);
@@ -124,9 +126,9 @@
         let peer = query.routers.first().map_or("", |peer| &peer.name);
         info!("answering another router in full", kv: { peer, bytes = facts.len() });
     }
-    let position = core.fleet().position().unwrap_or_default();
+    let revision = core.fleet().revision().unwrap_or_default();
     let head = Changes {
-        revision: wire::Revision { era: position.era.0, number: position.number },
+        revision: wire::Revision { era: revision.era.0, number: revision.number },
         full,
         waited_ms: received_at.until(now).0,
         confirmation_age_ms: core.confirmation_age_ms(),
@@ -137,17 +139,17 @@
 
 /// Whether this router has changes or a newer confirmation for the querying router.
 fn has_answer(core: &Core, query: &Query, after: Option<Revision>, received_at: Millis) -> bool {
-    let Some(position) = core.fleet().position() else { return false };
+    let Some(revision) = core.fleet().revision() else { return false };
     let Some(after) = after else { return true };
-    if position.era != after.era {
-        return position.era > after.era;
+    if revision.era != after.era {
+        return revision.era > after.era;
     }
-    if position.number < after.number {
+    if revision.number < after.number {
         return false;
     }
     let theirs = query
         .confirmation_age_ms
-        .map(|proof_ms| Millis(proof_ms) + received_at.until(core.clock.now()));
+        .map(|age_ms| Millis(age_ms) + received_at.until(core.clock.now()));
     let ours = core.confirmation_age_ms().map(Millis);
     let is_newer =
         ours.is_some_and(|ours| theirs.is_none_or(|theirs| ours + MIN_CONFIRMATION_GAIN < theirs));
@@ -156,9 +158,9 @@
 
 /// Whether this router is at an earlier revision than the querying one.
 fn is_behind(core: &Core, after: Option<Revision>) -> bool {
-    let Some(position) = core.fleet().position() else { return true };
+    let Some(revision) = core.fleet().revision() else { return true };
     let order = |revision: Revision| (revision.era, revision.number);
-    after.is_some_and(|after| order(position) < order(after))
+    after.is_some_and(|after| order(revision) < order(after))
 }
 
 async fn send_changes(sink: &mut Sink, head: Changes, mut facts: Bytes) -> Result<(), link::Error> {
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -1,4 +1,4 @@
-//! Runs one request by carrying out the reducer's effects in order.
+//! Runs one request by carrying out the routing state's effects in order.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -37,7 +37,7 @@
             },
             Self::Direct(call) => match call.next().await {
                 Ok(reply) => Event::Reply { id, attempt, reply },
-                Err(lost) => Event::ConnectionFailed { id, attempt, sent: lost.sent },
+                Err(failure) => Event::ConnectionFailed { id, attempt, sent: failure.sent },
             },
         }
     }
@@ -90,7 +90,7 @@
 }
 
 impl Relay {
-    /// Passes a request to the reducer.
+    /// Passes a request to the routing state.
     pub(crate) fn start(core: Rc<Core>, arrival: Arrival, template: Template) -> Self {
         let incoming = template.traceparent.as_deref();
         let span = core.tracer.span("router", incoming, &arrival.request);
@@ -120,7 +120,8 @@
         relay
     }
 
-    /// The next step; nothing follows an end.
+    /// The next step. Must not be called after [`Step::Finished`], [`Step::Failed`] or
+    /// [`Step::Aborted`].
     pub(crate) async fn next(&mut self) -> Step {
         loop {
             while let Some(effect) = self.effects.pop_front() {
@@ -310,7 +311,8 @@
         }
     }
 
-    /// Waits for the next frame, the loss of the link, the timeout or the deadline.
+    /// Waits for the end of the backoff, or for the next reply, the loss of the connection, the
+    /// timeout or the deadline.
     async fn wait(&mut self) {
         let (id, attempt) = (self.id, self.attempt);
         if let Some(until) = self.backoff_until.take() {
--- a/components/router/src/watch_scope.rs
+++ b/components/router/src/watch_scope.rs
@@ -24,9 +24,9 @@
         self.until = Some(now + REDUCED_DURATION);
     }
 
-    /// Restores the full scope when its time has come; returns whether it did. The caller then
+    /// Widens the scope again when its time has come; returns whether it did. The caller then
     /// reads everything once.
-    pub(crate) fn restore_if_due(&mut self, now: Millis) -> bool {
+    pub(crate) fn widen_if_due(&mut self, now: Millis) -> bool {
         let is_due = self.until.take_if(|until| *until <= now).is_some();
         if is_due {
             info!("store polls are complete again");
