--- a/components/link/src/client.rs
+++ b/components/link/src/client.rs
@@ -1,4 +1,4 @@
-//! The side that connects.
+//! The connecting side of a link.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,16 +16,16 @@
 };
 use crate::{CONNECTION_WINDOW, Error, Sink, Source, WINDOW};
 
-/// One connection to another process.
+/// A connection to another process.
 ///
-/// It ends when the last clone and the last stream of it have ended.
+/// It closes when its last clone is dropped and its last stream has ended.
 #[derive(Clone, Debug)]
 pub struct Connection {
     sender: SendRequest<Bytes>,
     driver: Rc<JoinHandle<()>>,
 }
 
-/// One request on a connection.
+/// A request on a connection, and its answer.
 #[derive(Debug)]
 pub struct Call {
     sink: Sink,
@@ -34,41 +34,42 @@
 
 #[derive(Debug)]
 enum Answer {
-    Waiting(client::ResponseFuture),
+    Pending(client::ResponseFuture),
     Open(Source),
 }
 
 impl Connection {
-    /// Connects and shows the link key.
+    /// Connects and authenticates with the link key of `hello`.
     ///
     /// # Errors
     ///
-    /// Every error of this function means that no request was sent.
+    /// The connection or the greeting failed, or took longer than `timeout`; no request
+    /// was sent.
     pub async fn open(
         address: &str,
         hello: Hello,
         timeout: Duration,
     ) -> Result<(Self, Welcome), Error> {
-        let greeting = tokio::time::timeout(timeout, Self::greet(address, hello)).await;
-        greeting.unwrap_or_else(|_| TimeoutSnafu { address }.fail())
+        let opened = tokio::time::timeout(timeout, Self::greet(address, hello)).await;
+        opened.unwrap_or_else(|_| TimeoutSnafu { address }.fail())
     }
 
     async fn greet(address: &str, hello: Hello) -> Result<(Self, Welcome), Error> {
         let socket = TcpStream::connect(address).await.context(ConnectSnafu { address })?;
         socket.set_nodelay(true).context(ConnectSnafu { address })?;
-        let (sender, connection) = client::Builder::new()
+        let (sender, driver) = client::Builder::new()
             .initial_window_size(WINDOW)
             .initial_connection_window_size(CONNECTION_WINDOW)
             .handshake(socket)
             .await
             .context(StreamNotOpenedSnafu)?;
         let driver = ntex::rt::spawn(async move {
-            let _ = connection.await;
+            let _ = driver.await;
         });
-        let this = Self { sender, driver: Rc::new(driver) };
-        let mut call = this.call(&Frame::Hello(hello)).await?;
+        let connection = Self { sender, driver: Rc::new(driver) };
+        let mut call = connection.call(&Frame::Hello(hello)).await?;
         match call.next().await {
-            Ok(Some(Frame::Welcome(welcome))) => Ok((this, welcome)),
+            Ok(Some(Frame::Welcome(welcome))) => Ok((connection, welcome)),
             Ok(Some(_)) => UnexpectedSnafu.fail(),
             Ok(None) | Err(_) => InvalidKeySnafu.fail(),
         }
@@ -83,7 +84,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::is_unsent`] tells whether the request may have arrived.
+    /// The connection failed; [`Error::is_unsent`] says whether the request may have
+    /// been received.
     pub async fn call(&self, frame: &Frame) -> Result<Call, Error> {
         let mut sender = self.sender.clone().ready().await.context(StreamNotOpenedSnafu)?;
         let mut request = http::Request::new(());
@@ -92,28 +94,28 @@
         let (answer, stream) = sender.send_request(request, false).context(StreamNotOpenedSnafu)?;
         let mut sink = Sink::new(stream);
         sink.finish(frame).await?;
-        Ok(Call { sink, answer: Answer::Waiting(answer) })
+        Ok(Call { sink, answer: Answer::Pending(answer) })
     }
 }
 
 impl Call {
-    /// The next frame of the answer, or `None` at a clean end.
+    /// Returns the next frame of the answer, or `None` at its end.
     ///
     /// # Errors
     ///
-    /// A broken link, an end within a frame, or a bad frame.
+    /// The connection failed, or the stream ended within a frame or has an invalid frame.
     pub async fn next(&mut self) -> Result<Option<Frame>, Error> {
-        if let Answer::Waiting(answer) = &mut self.answer {
+        if let Answer::Pending(answer) = &mut self.answer {
             let response = answer.await.context(BrokenSnafu)?;
             self.answer = Answer::Open(Source::new(response.into_body()));
         }
         match &mut self.answer {
             Answer::Open(source) => source.next().await,
-            Answer::Waiting(_) => UnexpectedEndSnafu.fail(),
+            Answer::Pending(_) => UnexpectedEndSnafu.fail(),
         }
     }
 
-    /// Tells the other side that the answer is no longer wanted.
+    /// Resets the stream, which cancels the request at the other side.
     pub fn cancel(&mut self) {
         self.sink.reset();
     }
--- a/components/link/src/error.rs
+++ b/components/link/src/error.rs
@@ -1,64 +1,65 @@
-//! What can go wrong on a link.
+//! Errors of a link.
 
 use snafu::Snafu;
 
-/// A fault of the link.
+/// An error of a link.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The other side can't be reached; nothing was sent.
+    /// The connection could not be opened; nothing was sent.
     #[snafu(display("can't connect to {address}"))]
     Connect {
-        /// Where to.
+        /// The address of the other process.
         address: String,
-        /// What the system says.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The other side took too long to connect or to greet; no request was sent.
-    #[snafu(display("{address} took too long to connect"))]
+    /// Connecting and greeting took too long; no request was sent.
+    #[snafu(display("timed out connecting to {address}"))]
     Timeout {
-        /// Where to.
+        /// The address of the other process.
         address: String,
     },
     /// The stream could not be opened; no byte of the request was sent.
-    #[snafu(display("no stream could be opened"))]
+    #[snafu(display("can't open a stream"))]
     StreamNotOpened {
-        /// What `h2` says.
+        /// The error of `h2`.
         source: h2::Error,
     },
-    /// The connection or stream broke.
-    #[snafu(display("the link broke"))]
+    /// The connection or stream failed.
+    #[snafu(display("the connection failed"))]
     Broken {
-        /// What `h2` says.
+        /// The error of `h2`.
         source: h2::Error,
     },
-    /// The stream ended within a frame, or before the frame that must come.
-    #[snafu(display("the stream ended too early"))]
+    /// The stream ended within a frame or before an expected frame, or that frame did not
+    /// arrive in time.
+    #[snafu(display("the stream ended unexpectedly"))]
     UnexpectedEnd,
-    /// The frame is not one that may come here.
-    #[snafu(display("an unexpected frame came"))]
+    /// The type of the frame is not allowed at this point.
+    #[snafu(display("unexpected frame"))]
     Unexpected,
-    /// The link key is wrong.
-    #[snafu(display("the link key was refused"))]
+    /// The link key was rejected, or the greeting was not answered.
+    #[snafu(display("the link key was rejected"))]
     InvalidKey,
-    /// The process at the address is not the one that was looked for.
-    #[snafu(display("{found} answered in place of {expected}"))]
+    /// The process at the address has another name than expected.
+    #[snafu(display("{found} answered instead of {expected}"))]
     WrongPeer {
-        /// Whom the list names.
+        /// The name that was expected at the address.
         expected: String,
-        /// Who answered.
+        /// The name in the greeting.
         found: String,
     },
-    /// A frame can't be read or written.
-    #[snafu(display("a bad frame"))]
+    /// A frame can't be encoded or decoded.
+    #[snafu(display("invalid frame"))]
     Frame {
-        /// What the codec says.
+        /// The error of the codec.
         source: wire::Error,
     },
 }
 
 impl Error {
-    /// Whether no byte of a request can have reached the other side.
+    /// Whether certainly no byte of a request reached the other side.
     pub fn is_unsent(&self) -> bool {
         matches!(
             self,
--- a/components/link/src/lib.rs
+++ b/components/link/src/lib.rs
@@ -1,9 +1,9 @@
-//! Frames over `h2` streams.
+//! Requests and answers as frames on HTTP/2 streams.
 //!
-//! One long-lived connection joins two processes; each request has a stream of
-//! its own. Flow control is left to `h2`: bytes are given back to the window
-//! only when the reader takes the next frame, so a slow reader holds back its
-//! own stream and bounds the memory of both sides to [`WINDOW`].
+//! Two processes share one long-lived connection, with a stream for each request. Flow
+//! control is that of HTTP/2: the receiver releases window capacity only as it reads
+//! frames, so a slow reader delays only its own stream, and each stream buffers at most
+//! [`WINDOW`] bytes at either side.
 
 mod client;
 mod error;
@@ -23,5 +23,5 @@
 /// The flow-control window of a connection, in bytes.
 pub const CONNECTION_WINDOW: u32 = 4 * 1024 * 1024;
 
-/// The most streams of one connection at a time.
+/// Maximum number of concurrent streams of a connection.
 pub const MAX_STREAMS: u32 = 4096;
--- a/components/link/src/links.rs
+++ b/components/link/src/links.rs
@@ -1,5 +1,4 @@
-//! The links of a process to the sidecars, one an upstream, opened when first
-//! needed.
+//! A process's connections to sidecars, one for each upstream, opened on first use.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -12,17 +11,17 @@
 
 use crate::{Call, Connection, Error};
 
-/// One upstream's link; the lock is held while it is being opened.
-type Slot = Rc<Mutex<Option<Standing>>>;
+/// An upstream's connection; the lock is held while it is being opened.
+type Slot = Rc<Mutex<Option<OpenLink>>>;
 
-/// A connection and where it leads.
+/// An open connection and its address.
 #[derive(Debug)]
-struct Standing {
+struct OpenLink {
     address: Arc<str>,
     connection: Connection,
 }
 
-/// All links of a process.
+/// The connections of a process, by upstream name.
 #[derive(Debug)]
 pub struct Links {
     hello: Hello,
@@ -31,17 +30,18 @@
 }
 
 impl Links {
-    /// A process that shows `hello` and waits `timeout` for a link to stand.
+    /// Creates an empty set whose connections are greeted with `hello` and opened within
+    /// `timeout`.
     pub fn new(hello: Hello, timeout: Duration) -> Self {
         Self { hello, timeout, slots: RefCell::default() }
     }
 
-    /// Makes sure that a link to `upstream` stands. Returns the greeting if it
-    /// was opened now.
+    /// Ensures that a connection to `upstream` is open. Returns the upstream's greeting if
+    /// it was opened by this call.
     ///
     /// # Errors
     ///
-    /// There is no link; no request was sent.
+    /// The connection could not be opened; no request was sent.
     pub async fn connect(
         &self,
         upstream: &Arc<str>,
@@ -50,12 +50,13 @@
         self.open(upstream, address).await.map(|(_, welcome)| welcome)
     }
 
-    /// Sends the only frame of a request. The greeting comes with it if the
-    /// link was opened now.
+    /// Sends a request of one frame. Also returns the upstream's greeting if the
+    /// connection was opened by this call.
     ///
     /// # Errors
     ///
-    /// [`Error::is_unsent`] tells whether the request may have arrived.
+    /// The connection failed; [`Error::is_unsent`] says whether the request may have
+    /// been received.
     pub async fn call(
         &self,
         upstream: &Arc<str>,
@@ -74,21 +75,21 @@
     ) -> Result<(Connection, Option<Welcome>), Error> {
         let slot = self.slots.borrow_mut().entry(upstream.clone()).or_default().clone();
         let mut slot = slot.lock().await;
-        if let Some(standing) = &*slot
-            && *standing.address == *address
-            && !standing.connection.is_closed()
+        if let Some(link) = &*slot
+            && *link.address == *address
+            && !link.connection.is_closed()
         {
-            return Ok((standing.connection.clone(), None));
+            return Ok((link.connection.clone(), None));
         }
         *slot = None;
         let (connection, welcome) =
             Connection::open(address, self.hello.clone(), self.timeout).await?;
         if welcome.name != *upstream {
-            // An address can be given to another host before the list shows it.
+            // The address may have been reassigned before the host list was updated.
             let (expected, found) = (upstream.to_string(), welcome.name.to_string());
             return Err(Error::WrongPeer { expected, found });
         }
-        *slot = Some(Standing { address: address.into(), connection: connection.clone() });
+        *slot = Some(OpenLink { address: address.into(), connection: connection.clone() });
         Ok((connection, Some(welcome)))
     }
 }
--- a/components/link/src/listener.rs
+++ b/components/link/src/listener.rs
@@ -1,4 +1,4 @@
-//! The side that is connected to.
+//! The accepting side of a link.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -15,36 +15,37 @@
 use crate::error::{BrokenSnafu, InvalidKeySnafu, UnexpectedEndSnafu, UnexpectedSnafu};
 use crate::{CONNECTION_WINDOW, Error, MAX_STREAMS, Sink, Source, WINDOW};
 
-/// How long a connection may take to show the link key.
+/// Time limit of the HTTP/2 handshake, and of the greeting's arrival after it.
 const GREETING_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long a request frame may take to come whole.
+/// Time limit for receiving a complete request frame.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Who this process is on its links.
+/// The credentials that an accepting process checks.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// The link key that a connecting process must show.
+    /// The link key that connecting processes must present.
     pub key: Arc<str>,
 }
 
-/// One request from another process.
+/// A request from another process, and the stream for its answer.
 #[derive(Debug)]
 pub struct Exchange {
-    /// The request's only frame.
+    /// The request, which is a single frame.
     pub frame: Frame,
-    /// Where the answer goes.
+    /// The stream for the answer.
     pub sink: Sink,
 }
 
-/// Serves one connection until it ends.
+/// Serves a connection until it ends.
 ///
-/// `welcome` is asked for the answer to the greeting, `handle` is run for every
-/// request after it. All tasks have ended when this returns.
+/// `welcome` returns the answer to the greeting; `handle` is called for each request
+/// after it. Returns after all tasks of the connection have ended.
 ///
 /// # Errors
 ///
-/// A broken link, a wrong key, or an unexpected frame.
+/// The HTTP/2 handshake failed or timed out. A greeting with a wrong key or of another
+/// type only resets its stream.
 pub async fn accept<H, F>(
     socket: TcpStream,
     identity: Identity,
@@ -66,7 +67,7 @@
         .ok()
         .context(UnexpectedEndSnafu)?
         .context(BrokenSnafu)?;
-    let greeted = Rc::new(RefCell::new(false));
+    let is_greeted = Rc::new(RefCell::new(false));
     let handle = Rc::new(handle);
     let mut tasks = tokio::task::JoinSet::new();
     while let Some(stream) = connection.accept().await {
@@ -79,10 +80,10 @@
             continue;
         };
         let mut sink = Sink::new(stream);
-        if *greeted.borrow() {
+        if *is_greeted.borrow() {
             let handle = handle.clone();
             tasks.spawn_local(async move {
-                match read(&mut source).await {
+                match read_request(&mut source).await {
                     Ok(frame) => handle(Exchange { frame, sink }).await,
                     Err(_) => sink.reset(),
                 }
@@ -91,11 +92,11 @@
         }
         let answer = welcome();
         let identity = identity.clone();
-        let greeted = greeted.clone();
+        let is_greeted = is_greeted.clone();
         tasks.spawn_local(async move {
-            match greet(&mut source, &identity).await {
+            match check_greeting(&mut source, &identity).await {
                 Ok(()) => {
-                    *greeted.borrow_mut() = true;
+                    *is_greeted.borrow_mut() = true;
                     let _ = sink.finish(&Frame::Welcome(answer)).await;
                 }
                 Err(_) => sink.reset(),
@@ -106,18 +107,18 @@
     Ok(())
 }
 
-async fn read(source: &mut Source) -> Result<Frame, Error> {
+async fn read_request(source: &mut Source) -> Result<Frame, Error> {
     let frame = tokio::time::timeout(REQUEST_TIMEOUT, source.next()).await;
     frame.ok().context(UnexpectedEndSnafu)??.context(UnexpectedEndSnafu)
 }
 
-async fn greet(source: &mut Source, identity: &Identity) -> Result<(), Error> {
+async fn check_greeting(source: &mut Source, identity: &Identity) -> Result<(), Error> {
     let frame = tokio::time::timeout(GREETING_TIMEOUT, source.next()).await;
     let frame = frame.ok().context(UnexpectedEndSnafu)??.context(UnexpectedEndSnafu)?;
     let Frame::Hello(hello) = frame else {
         return UnexpectedSnafu.fail();
     };
-    let same = bool::from(hello.key.as_bytes().ct_eq(identity.key.as_bytes()));
-    ensure!(same, InvalidKeySnafu);
+    let is_valid = bool::from(hello.key.as_bytes().ct_eq(identity.key.as_bytes()));
+    ensure!(is_valid, InvalidKeySnafu);
     Ok(())
 }
--- a/components/link/src/stream.rs
+++ b/components/link/src/stream.rs
@@ -1,4 +1,4 @@
-//! The two halves of a stream.
+//! The sending and the receiving half of a stream.
 
 use std::future::poll_fn;
 
@@ -10,7 +10,7 @@
 use crate::Error;
 use crate::error::{BrokenSnafu, FrameSnafu, UnexpectedEndSnafu};
 
-/// The half that frames are written to.
+/// The sending half of a stream.
 #[derive(Debug)]
 pub struct Sink {
     stream: SendStream<Bytes>,
@@ -21,27 +21,27 @@
         Self { stream }
     }
 
-    /// Writes one frame, waiting for room in the window of the other side.
+    /// Writes a frame, waiting for capacity in the flow-control window.
     pub async fn send(&mut self, frame: &Frame) -> Result<(), Error> {
         self.write(frame, false).await
     }
 
-    /// Writes the last frame and ends this half.
+    /// Writes the last frame and ends the stream's sending half.
     pub async fn finish(&mut self, frame: &Frame) -> Result<(), Error> {
         self.write(frame, true).await
     }
 
-    /// Ends this half without a frame.
+    /// Ends the sending half without a further frame.
     pub fn end(&mut self) {
         let _ = self.stream.send_data(Bytes::new(), true);
     }
 
-    /// Resets the stream, which the other side sees as a cancel.
+    /// Resets the stream with the HTTP/2 error code `CANCEL`.
     pub fn reset(&mut self) {
         self.stream.send_reset(h2::Reason::CANCEL);
     }
 
-    /// Waits until the other side resets the stream or its connection is lost.
+    /// Waits until the other side resets the stream or the connection ends.
     pub async fn closed(&mut self) {
         let _ = poll_fn(|context| self.stream.poll_reset(context)).await;
     }
@@ -49,20 +49,20 @@
     async fn write(&mut self, frame: &Frame, last: bool) -> Result<(), Error> {
         let mut bytes = wire::encode(frame).context(FrameSnafu)?;
         while !bytes.is_empty() {
-            let room = self.room(bytes.len()).await?;
-            let part = bytes.split_to(room.min(bytes.len()));
+            let capacity = self.reserve(bytes.len()).await?;
+            let chunk = bytes.split_to(capacity.min(bytes.len()));
             let end = last && bytes.is_empty();
-            self.stream.send_data(part, end).context(BrokenSnafu)?;
+            self.stream.send_data(chunk, end).context(BrokenSnafu)?;
         }
         Ok(())
     }
 
-    async fn room(&mut self, wanted: usize) -> Result<usize, Error> {
-        self.stream.reserve_capacity(wanted);
+    async fn reserve(&mut self, length: usize) -> Result<usize, Error> {
+        self.stream.reserve_capacity(length);
         loop {
-            let room = self.stream.capacity();
-            if room > 0 {
-                return Ok(room);
+            let capacity = self.stream.capacity();
+            if capacity > 0 {
+                return Ok(capacity);
             }
             match poll_fn(|context| self.stream.poll_capacity(context)).await {
                 Some(Ok(_)) => {}
@@ -73,7 +73,7 @@
     }
 }
 
-/// The half that frames are read from.
+/// The receiving half of a stream.
 #[derive(Debug)]
 pub struct Source {
     stream: RecvStream,
@@ -85,11 +85,11 @@
         Self { stream, reader: wire::Reader::default() }
     }
 
-    /// The next frame, or `None` at a clean end of the stream.
+    /// Returns the next frame, or `None` at the end of the stream.
     ///
     /// # Errors
     ///
-    /// A broken link, an end within a frame, or a bad frame.
+    /// The connection failed, or the stream ended within a frame or has an invalid frame.
     pub async fn next(&mut self) -> Result<Option<Frame>, Error> {
         loop {
             if let Some(frame) = self.reader.next_frame().context(FrameSnafu)? {
@@ -103,8 +103,8 @@
             };
             let data = data.context(BrokenSnafu)?;
             self.reader.push(&data);
-            let window = self.stream.flow_control();
-            window.release_capacity(data.len()).context(BrokenSnafu)?;
+            let flow_control = self.stream.flow_control();
+            flow_control.release_capacity(data.len()).context(BrokenSnafu)?;
         }
     }
 }
--- a/components/sidecar/src/admin.rs
+++ b/components/sidecar/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' pages.
+//! The admin HTTP endpoints: health, readiness, status, metrics and drain.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -9,36 +9,39 @@
 use snafu::ResultExt;
 use telemetry::Metrics;
 
-use crate::core::Shared;
+use crate::core::SharedState;
 use crate::error::{BindSnafu, Error, SocketSnafu};
 
-/// The running pages.
-pub(crate) struct Page {
+/// The running admin server.
+pub(crate) struct AdminServer {
     address: SocketAddr,
     server: ntex::server::Server,
 }
 
-impl std::fmt::Debug for Page {
+impl std::fmt::Debug for AdminServer {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.debug_struct("Page").field("address", &self.address).finish_non_exhaustive()
+        formatter
+            .debug_struct("AdminServer")
+            .field("address", &self.address)
+            .finish_non_exhaustive()
     }
 }
 
-/// What the pages show.
+/// What the endpoints read, and the stop that `/drain` requests.
 #[derive(Clone)]
-pub(crate) struct Pages {
+pub(crate) struct AdminState {
     pub name: Arc<str>,
-    pub state: Shared,
+    pub state: SharedState,
     pub stop: process::Shutdown,
     pub metrics: Arc<Metrics>,
 }
 
-impl Page {
-    pub(crate) fn start(address: &str, pages: Pages) -> Result<Self, Error> {
+impl AdminServer {
+    pub(crate) fn start(address: &str, admin: AdminState) -> Result<Self, Error> {
         let (listener, address) = process::bind(address).context(BindSnafu)?;
         let factory = async move || {
             web::App::new()
-                .state(pages.clone())
+                .state(admin.clone())
                 .route("/healthz", web::get().to(async || HttpResponse::Ok().body("ok\n")))
                 .route("/readyz", web::get().to(ready))
                 .route("/status", web::get().to(status))
@@ -63,18 +66,18 @@
     }
 }
 
-async fn ready(pages: web::types::State<Pages>) -> HttpResponse {
-    if pages.state.lock().is_leaving() {
+async fn ready(admin: web::types::State<AdminState>) -> HttpResponse {
+    if admin.state.lock().is_leaving() {
         return HttpResponse::ServiceUnavailable().body("leaving\n");
     }
     HttpResponse::Ok().body("ready\n")
 }
 
-async fn status(pages: web::types::State<Pages>) -> HttpResponse {
-    let state = pages.state.lock();
+async fn status(admin: web::types::State<AdminState>) -> HttpResponse {
+    let state = admin.state.lock();
     let status = state.status();
     HttpResponse::Ok().json(&json!({
-        "name": &*pages.name,
+        "name": &*admin.name,
         "incarnation": state.incarnation(),
         "load": status.load,
         "pool": status.pool,
@@ -84,11 +87,11 @@
     }))
 }
 
-async fn metrics(pages: web::types::State<Pages>) -> HttpResponse {
-    HttpResponse::Ok().content_type("text/plain; version=0.0.4").body(pages.metrics.render())
+async fn metrics(admin: web::types::State<AdminState>) -> HttpResponse {
+    HttpResponse::Ok().content_type("text/plain; version=0.0.4").body(admin.metrics.render())
 }
 
-async fn drain(pages: web::types::State<Pages>) -> HttpResponse {
-    pages.stop.request();
+async fn drain(admin: web::types::State<AdminState>) -> HttpResponse {
+    admin.stop.request();
     HttpResponse::Accepted().body("leaving\n")
 }
--- a/components/sidecar/src/call.rs
+++ b/components/sidecar/src/call.rs
@@ -1,4 +1,4 @@
-//! One call: frames out to the router, the request in to the upstream.
+//! One call: sends the request to the upstream and its answer to the router as frames.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -16,38 +16,39 @@
 use crate::core::Core;
 use crate::upstream::{Answer, Part};
 
-/// How long after the deadline a caller that does not read is waited for.
-const GRACE: Duration = Duration::from_millis(500);
+/// How long after the request's deadline a write to a router that does not read may
+/// still take.
+const WRITE_GRACE: Duration = Duration::from_millis(500);
 
-/// How long a stop waits for the last frames to be written.
-const LAST_FRAMES: Duration = Duration::from_secs(2);
+/// How long a planned stop waits for the last frames to be written.
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One call's task.
+/// The state of a call's task.
 struct Task {
     core: Rc<Core>,
     id: CallId,
     request: Arc<str>,
-    /// Gone once the router is.
+    /// `None` after the router disconnected.
     sink: Option<Sink>,
     answer: Answer,
-    came: Instant,
-    latest: Instant,
+    arrived_at: Instant,
+    write_deadline: Instant,
     span: Span,
-    /// The trace context for the upstream.
+    /// The trace context sent to the upstream.
     traceparent: Option<Arc<str>>,
     ended: bool,
 }
 
-/// What a call's task waits for.
-enum Next {
+/// What a call's task reacts to.
+enum Input {
     Effect(Option<Effect>),
     Part(Part),
-    RouterGone,
+    RouterClosed,
 }
 
-/// Serves a request until its last frame is written.
+/// Serves a request until its last frame is written or its router disconnects.
 pub(crate) async fn serve(core: Rc<Core>, open: Open, sink: Sink) {
-    let came = Instant::now();
+    let arrived_at = Instant::now();
     let traceparent = open.traceparent.as_deref();
     let span = core.tracer.span("sidecar", traceparent, &open.request);
     let (id, mailbox) = core.register();
@@ -56,32 +57,32 @@
         id,
         request: open.request.clone(),
         sink: Some(sink),
-        answer: Answer::None,
-        came,
-        latest: came + Duration::from_millis(open.remaining_ms) + GRACE,
+        answer: Answer::Idle,
+        arrived_at,
+        write_deadline: arrived_at + Duration::from_millis(open.remaining_ms) + WRITE_GRACE,
         traceparent: span.traceparent(traceparent).map(Into::into),
         span,
         ended: false,
     };
     core.apply(Event::Open { call: id, open });
     task.run(mailbox).await;
-    core.forget(id);
+    core.unregister(id);
 }
 
-/// Takes a member's report and answers with the pool.
+/// Applies the load report of a member of the pool and answers with the pool's load.
 pub(crate) async fn aggregate(core: Rc<Core>, report: Report, mut sink: Sink) {
     let (id, mut mailbox) = core.register();
     core.apply(Event::Report { call: id, report });
-    core.forget(id);
+    core.unregister(id);
     if let Some(Effect::Finish { frame, .. }) = mailbox.recv().await {
         let _ = sink.finish(&frame).await;
     }
 }
 
-/// Waits until the tasks of all calls have ended, for a while.
-pub(crate) async fn settle(core: &Core) {
-    let latest = Instant::now() + LAST_FRAMES;
-    while core.open_calls() > 0 && Instant::now() < latest {
+/// Waits until all calls' tasks have ended, at most [`FINAL_WRITE_TIMEOUT`].
+pub(crate) async fn wait_for_calls(core: &Core) {
+    let deadline = Instant::now() + FINAL_WRITE_TIMEOUT;
+    while core.open_calls() > 0 && Instant::now() < deadline {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
@@ -90,36 +91,36 @@
     async fn run(mut self, mut mailbox: UnboundedReceiver<Effect>) {
         while !self.ended {
             match self.next(&mut mailbox).await {
-                Next::Effect(Some(effect)) => self.act(effect).await,
-                Next::Effect(None) => return,
-                Next::Part(part) => self.pass(part),
-                Next::RouterGone => self.lose_router(),
+                Input::Effect(Some(effect)) => self.execute(effect).await,
+                Input::Effect(None) => return,
+                Input::Part(part) => self.forward(part),
+                Input::RouterClosed => self.disconnect_router(),
             }
         }
     }
 
-    /// Effects go first, so that the upstream is read only when everything
-    /// before has been written.
-    async fn next(&mut self, mailbox: &mut UnboundedReceiver<Effect>) -> Next {
+    /// Returns the next input. Effects come first, so that the upstream is read only
+    /// after all earlier frames were written.
+    async fn next(&mut self, mailbox: &mut UnboundedReceiver<Effect>) -> Input {
         let sink = &mut self.sink;
         tokio::select! {
             biased;
-            effect = mailbox.recv() => Next::Effect(effect),
-            () = gone(sink) => Next::RouterGone,
-            part = self.answer.next() => Next::Part(part),
+            effect = mailbox.recv() => Input::Effect(effect),
+            () = router_closed(sink) => Input::RouterClosed,
+            part = self.answer.next() => Input::Part(part),
         }
     }
 
-    async fn act(&mut self, effect: Effect) {
+    async fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::Run { mut open, .. } => {
-                let waited = self.came.elapsed().as_millis();
-                self.core.metrics.record_queue_time(u64::try_from(waited).unwrap_or(u64::MAX));
+                let waited_ms = self.arrived_at.elapsed().as_millis();
+                self.core.metrics.record_queue_time(u64::try_from(waited_ms).unwrap_or(u64::MAX));
                 open.traceparent.clone_from(&self.traceparent);
                 self.answer = Answer::start(&self.core, &open);
             }
             Effect::Abort { .. } => {
-                self.answer = Answer::None;
+                self.answer = Answer::Idle;
                 self.ended = self.sink.is_none();
             }
             Effect::Send { frame, .. } => self.write(&frame, false).await,
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Counts and logs how the call ended.
+    /// Records the call's outcome in metrics, trace and log.
     fn record(&self, frame: &Frame) {
         let error = match frame {
             Frame::Refused(refused) => Some(refused.kind),
@@ -144,7 +145,8 @@
         let outcome: &'static str = outcome.into();
         self.core.metrics.record_request(outcome, error);
         self.span.set("outcome", outcome);
-        let trace = self.traceparent.as_deref().and_then(|it| it.split('-').nth(1));
+        let trace =
+            self.traceparent.as_deref().and_then(|traceparent| traceparent.split('-').nth(1));
         info!("call ended", kv: {
             request = &*self.request,
             trace = trace.unwrap_or(""),
@@ -156,26 +158,26 @@
     async fn write(&mut self, frame: &Frame, last: bool) {
         let Some(sink) = &mut self.sink else { return };
         let written = if last {
-            timeout_at(self.latest, sink.finish(frame)).await
+            timeout_at(self.write_deadline, sink.finish(frame)).await
         } else {
-            timeout_at(self.latest, sink.send(frame)).await
+            timeout_at(self.write_deadline, sink.send(frame)).await
         };
         if !matches!(written, Ok(Ok(()))) {
-            self.lose_router();
+            self.disconnect_router();
         }
     }
 
-    fn lose_router(&mut self) {
+    fn disconnect_router(&mut self) {
         let Some(mut sink) = self.sink.take() else {
             return;
         };
         sink.reset();
         self.core.apply(Event::Cancel { call: self.id });
-        // A call that was never handed over, or is aborted, has no more effects.
-        self.ended = matches!(self.answer, Answer::None);
+        // Without a request at the upstream, the reducer sends no further effects.
+        self.ended = matches!(self.answer, Answer::Idle);
     }
 
-    fn pass(&mut self, part: Part) {
+    fn forward(&mut self, part: Part) {
         let call = self.id;
         let event = match part {
             Part::Head { status, headers } => Event::Head { call, status, headers },
@@ -183,17 +185,18 @@
             Part::Ended => Event::Ended { call },
             Part::Failed(kind) => Event::Failed { call, kind },
         };
-        let over = matches!(event, Event::Ended { .. } | Event::Failed { .. });
+        let is_final = matches!(event, Event::Ended { .. } | Event::Failed { .. });
         self.core.apply(event);
-        if over {
-            self.answer = Answer::None;
+        if is_final {
+            self.answer = Answer::Idle;
             self.ended = self.sink.is_none();
         }
     }
 }
 
-/// Waits until the router resets the stream or is gone; for ever without one.
-async fn gone(sink: &mut Option<Sink>) {
+/// Waits until the router resets the stream or its connection ends; pends forever
+/// without a sink.
+async fn router_closed(sink: &mut Option<Sink>) {
     match sink {
         Some(sink) => sink.closed().await,
         None => std::future::pending().await,
--- a/components/sidecar/src/core.rs
+++ b/components/sidecar/src/core.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a sidecar share.
+//! State shared by the tasks of a sidecar.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -11,14 +11,14 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use wire::Welcome;
 
-/// The name of this kind of process in metrics and traces.
+/// The service name in metrics and traces.
 pub(crate) const SERVICE: &str = "silverstack-sidecar";
 
-/// The reducer's state as the HTTP pages see it.
+/// The reducer's state, shared with the admin server's thread.
 #[derive(Clone, Debug)]
-pub(crate) struct Shared(Arc<Mutex<State>>);
+pub(crate) struct SharedState(Arc<Mutex<State>>);
 
-impl Shared {
+impl SharedState {
     pub(crate) fn new(state: State) -> Self {
         Self(Arc::new(Mutex::new(state)))
     }
@@ -28,7 +28,7 @@
     }
 }
 
-/// What every call's task needs.
+/// Settings, clients and state that all tasks use, and the calls' mailboxes.
 pub(crate) struct Core {
     pub settings: settings::Sidecar,
     pub clock: Clock,
@@ -36,21 +36,21 @@
     pub stop: process::Shutdown,
     pub metrics: Arc<Metrics>,
     pub tracer: Tracer,
-    state: Shared,
+    state: SharedState,
     mailboxes: RefCell<HashMap<CallId, UnboundedSender<Effect>>>,
-    next: RefCell<CallId>,
-    /// Reports to the aggregator, taken by the task that sends them.
+    next_id: RefCell<CallId>,
+    /// Load reports with their receivers, read by [`crate::peers::send_reports`].
     reports: UnboundedSender<(Peer, wire::Report)>,
 }
 
 impl Core {
-    /// The core of a sidecar, and the reports that it wants sent.
+    /// Returns the core and the channel of the load reports to send.
     pub(crate) fn new(
         settings: settings::Sidecar,
         client: Client,
         stop: process::Shutdown,
         metrics: Arc<Metrics>,
-        state: Shared,
+        state: SharedState,
     ) -> (Self, UnboundedReceiver<(Peer, wire::Report)>) {
         let (reports, outbox) = unbounded_channel();
         let core = Self {
@@ -62,13 +62,13 @@
             settings,
             state,
             mailboxes: RefCell::default(),
-            next: RefCell::default(),
+            next_id: RefCell::default(),
             reports,
         };
         (core, outbox)
     }
 
-    /// Takes an event to the reducer and its effects to the tasks they concern.
+    /// Applies an event to the reducer and delivers the effects.
     pub(crate) fn apply(&self, event: Event) {
         let effects = self.state.lock().apply(event, self.clock.now());
         for effect in effects {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Hands an effect to the task that carries it out.
+    /// Delivers an effect to the task that executes it.
     fn deliver(&self, effect: Effect) {
         let call = match &effect {
             Effect::Send { call, .. }
@@ -99,32 +99,32 @@
         }
     }
 
-    /// A number and a mailbox for a new call.
+    /// Registers a new call; returns its id and its mailbox.
     pub(crate) fn register(&self) -> (CallId, UnboundedReceiver<Effect>) {
-        let mut next = self.next.borrow_mut();
-        *next += 1;
+        let mut next_id = self.next_id.borrow_mut();
+        *next_id += 1;
         let (sender, receiver) = unbounded_channel();
-        self.mailboxes.borrow_mut().insert(*next, sender);
-        (*next, receiver)
+        self.mailboxes.borrow_mut().insert(*next_id, sender);
+        (*next_id, receiver)
     }
 
-    /// Drops the mailbox of a call that has ended.
-    pub(crate) fn forget(&self, call: CallId) {
+    /// Removes the mailbox of a call that has ended.
+    pub(crate) fn unregister(&self, call: CallId) {
         self.mailboxes.borrow_mut().remove(&call);
     }
 
-    /// What a router is told when it connects.
+    /// The answer to a router's greeting.
     pub(crate) fn welcome(&self) -> Welcome {
         let state = self.state.lock();
         Welcome { name: self.settings.name.clone(), status: state.status() }
     }
 
-    /// How many calls still have a task.
+    /// Number of calls with a mailbox.
     pub(crate) fn open_calls(&self) -> usize {
         self.mailboxes.borrow().len()
     }
 
-    /// How many calls the reducer has not seen the end of.
+    /// Number of calls that the reducer counts as in flight.
     pub(crate) fn in_flight(&self) -> usize {
         self.state.lock().in_flight()
     }
--- a/components/sidecar/src/error.rs
+++ b/components/sidecar/src/error.rs
@@ -1,27 +1,27 @@
-//! Why a sidecar can't start.
+//! Errors of a sidecar.
 
 use snafu::Snafu;
 
-/// A fault at start.
+/// An error at the start of a sidecar.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// An address can't be listened on.
+    /// The sidecar can't listen on an address.
     #[snafu(display("{source}"))]
     Bind {
-        /// The address and what the system says.
+        /// The address and the operating system's error.
         source: process::Error,
     },
-    /// A socket can't be used.
-    #[snafu(display("a socket can't be used: {source}"))]
+    /// Setting up a socket failed.
+    #[snafu(display("can't set up a socket: {source}"))]
     Socket {
-        /// What the system says.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The HTTP client can't be made.
-    #[snafu(display("the HTTP client can't be made: {reason}"))]
+    /// The HTTP client can't be created.
+    #[snafu(display("can't create the HTTP client: {reason}"))]
     Client {
-        /// What the library says.
+        /// The HTTP library's message.
         reason: String,
     },
 }
--- a/components/sidecar/src/lib.rs
+++ b/components/sidecar/src/lib.rs
@@ -1,8 +1,8 @@
-//! The sidecar process: the edge around the `admission` reducer.
+//! The sidecar process: sockets, clients and timers around the `admission` reducer.
 //!
-//! Routers reach it over the link, operators over HTTP. All work happens on
-//! the thread that calls [`Sidecar::run`]; the HTTP pages have one of their
-//! own and see the state through a lock that is never held across a wait.
+//! Routers connect over the `link` protocol, operators over HTTP. Calls are served on
+//! the thread that calls [`Sidecar::run`]. The admin server has its own thread and
+//! reads the state under a lock, which is never held across an await.
 
 mod admin;
 mod call;
--- a/components/sidecar/src/server.rs
+++ b/components/sidecar/src/server.rs
@@ -1,4 +1,4 @@
-//! The sidecar as a whole: start, serve, stop.
+//! Start, operation and planned stop of a sidecar.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,34 +16,34 @@
 use tokio::task::JoinSet;
 use wire::Frame;
 
-use crate::core::{Core, SERVICE, Shared};
+use crate::core::{Core, SERVICE, SharedState};
 use crate::error::{BindSnafu, Error, SocketSnafu};
 use crate::{admin, call, peers};
 
-/// How often the reducer is told that time passed.
-const TICK: Duration = Duration::from_millis(20);
+/// Interval of the reducer's tick events, and the delay after a failed accept.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How long an idle connection to a model engine is kept.
 const ENGINE_KEEP_ALIVE: Seconds = Seconds(2);
 
-/// A sidecar that is ready to run.
+/// A sidecar whose sockets are bound.
 #[derive(Debug)]
 pub struct Sidecar {
     settings: settings::Sidecar,
-    state: Shared,
+    state: SharedState,
     listener: TcpListener,
     address: SocketAddr,
-    admin: admin::Page,
+    admin: admin::AdminServer,
     stop: process::Shutdown,
     metrics: Arc<Metrics>,
 }
 
 impl Sidecar {
-    /// Binds the sockets and starts the HTTP pages.
+    /// Binds the sockets and starts the admin server.
     ///
     /// # Errors
     ///
-    /// An address can't be listened on.
+    /// A socket can't be bound or set up.
     pub fn bind(settings: settings::Sidecar) -> Result<Self, Error> {
         let (listener, address) = process::bind(&settings.listen).context(BindSnafu)?;
         listener.set_nonblocking(true).context(SocketSnafu)?;
@@ -51,45 +51,45 @@
         let own = Peer { name: settings.name.clone(), address: address.to_string().into() };
         let incarnation = Clock::new().now().0;
         let state = State::new(settings.admission.clone(), own, incarnation);
-        let state = Shared::new(state);
+        let state = SharedState::new(state);
         let stop = process::Shutdown::new();
         let metrics = Arc::new(Metrics::new(SERVICE));
-        let pages = admin::Pages {
+        let admin_state = admin::AdminState {
             name: settings.name.clone(),
             state: state.clone(),
             stop: stop.clone(),
             metrics: metrics.clone(),
         };
-        let admin = admin::Page::start(&settings.admin, pages)?;
+        let admin = admin::AdminServer::start(&settings.admin, admin_state)?;
         Ok(Self { settings, state, listener, address, admin, stop, metrics })
     }
 
-    /// The settings that it runs with.
+    /// The settings passed to [`Self::bind`].
     pub fn settings(&self) -> &settings::Sidecar {
         &self.settings
     }
 
-    /// Where routers connect.
+    /// The address that routers connect to.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where operators connect.
+    /// The address of the admin endpoints.
     pub fn admin_address(&self) -> SocketAddr {
         self.admin.address()
     }
 
-    /// The handle that asks for a planned stop.
+    /// The handle that requests a planned stop.
     pub fn stop(&self) -> process::Shutdown {
         self.stop.clone()
     }
 
-    /// Serves until a stop was asked for and nothing is in flight, or the
-    /// drain's time is over. Returns the number of calls that were cut.
+    /// Serves until a stop is requested, then drains: until nothing is in flight or the
+    /// drain timeout has passed. Returns the number of calls that were interrupted.
     ///
     /// # Errors
     ///
-    /// The HTTP client can't be made.
+    /// The HTTP client can't be created.
     pub async fn run(self) -> Result<usize, Error> {
         let keep_alive = match self.settings.service {
             Service::Engine => ENGINE_KEEP_ALIVE,
@@ -97,62 +97,62 @@
         };
         let client = process::client(keep_alive, process::CONNECT_TIMEOUT)
             .await
-            .map_err(|fault| Error::Client { reason: fault.to_string() })?;
+            .map_err(|error| Error::Client { reason: error.to_string() })?;
         let (core, outbox) =
             Core::new(self.settings, client, self.stop.clone(), self.metrics, self.state);
         let core = Rc::new(core);
         let mut tasks = JoinSet::new();
         tasks.spawn_local(tick(core.clone()));
-        tasks.spawn_local(peers::follow(core.clone()));
-        tasks.spawn_local(peers::report(core.clone(), outbox));
+        tasks.spawn_local(peers::poll_hosts(core.clone()));
+        tasks.spawn_local(peers::send_reports(core.clone(), outbox));
         tasks.spawn_local(listen(core.clone(), self.listener));
         self.stop.requested().await;
         core.apply(Event::Leave);
         let timeout = Duration::from_millis(core.settings.drain_ms);
         let _ = tokio::time::timeout(timeout, self.stop.finished()).await;
-        call::settle(&core).await;
-        let cut = core.in_flight();
+        call::wait_for_calls(&core).await;
+        let interrupted = core.in_flight();
         tasks.shutdown().await;
         self.admin.stop().await;
-        Ok(cut)
+        Ok(interrupted)
     }
 }
 
-/// Tells the reducer that time passes, until the process stops.
+/// Sends tick events to the reducer.
 async fn tick(core: Rc<Core>) {
-    let mut ticks = tokio::time::interval(TICK);
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     loop {
         ticks.tick().await;
         core.apply(Event::Tick);
     }
 }
 
-/// Accepts routers and other members of the pool, until the process stops.
+/// Accepts connections of routers and of other members of the pool.
 async fn listen(core: Rc<Core>, listener: TcpListener) {
     let mut connections = JoinSet::new();
     loop {
         while connections.try_join_next().is_some() {}
         let Ok((socket, _)) = listener.accept().await else {
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(TICK_INTERVAL).await;
             continue;
         };
         let core = core.clone();
         let identity = Identity { key: core.settings.link_key.clone() };
         connections.spawn_local(async move {
-            let greeter = core.clone();
-            let handle = move |exchange: Exchange| answer(core.clone(), exchange);
-            let _ = link::accept(socket, identity, move || greeter.welcome(), handle).await;
+            let welcome_core = core.clone();
+            let handle = move |exchange: Exchange| dispatch(core.clone(), exchange);
+            let _ = link::accept(socket, identity, move || welcome_core.welcome(), handle).await;
         });
     }
 }
 
-/// Carries out what the first frame of a stream asks for.
-async fn answer(core: Rc<Core>, mut exchange: Exchange) {
+/// Handles a stream by the type of its request frame.
+async fn dispatch(core: Rc<Core>, mut exchange: Exchange) {
     match exchange.frame {
         Frame::Open(open) => call::serve(core, open, exchange.sink).await,
         Frame::Report(report) => call::aggregate(core, report, exchange.sink).await,
-        Frame::DirectoryUpdate(note) => {
-            core.apply(Event::DirectoryUpdate(note));
+        Frame::DirectoryUpdate(update) => {
+            core.apply(Event::DirectoryUpdate(update));
             exchange.sink.end();
         }
         _ => exchange.sink.reset(),
--- a/components/sidecar/src/upstream.rs
+++ b/components/sidecar/src/upstream.rs
@@ -1,4 +1,4 @@
-//! The request as the upstream sees it, and its answer.
+//! The HTTP request to the upstream, and its answer.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -13,10 +13,10 @@
 
 use crate::core::Core;
 
-/// The last event of a whole streamed answer.
-const DONE: &[u8] = b"data: [DONE]\n\n";
+/// The last event of a complete streamed answer.
+const FINAL_EVENT: &[u8] = b"data: [DONE]\n\n";
 
-/// Headers of an answer that concern one hop only.
+/// Answer headers that are not forwarded to the router.
 const HOP_HEADERS: [&str; 6] =
     ["connection", "keep-alive", "transfer-encoding", "content-length", "date", "upgrade"];
 
@@ -27,34 +27,34 @@
     Head { status: u16, headers: Vec<(Arc<str>, Arc<str>)> },
     /// Bytes of the body.
     Chunk(Bytes),
-    /// The body is whole.
+    /// The body is complete.
     Ended,
-    /// There will be no whole answer.
+    /// The request failed, or its body ended early.
     Failed(Kind),
 }
 
-type Sending = Pin<Box<dyn Future<Output = Result<ClientResponse, ClientError>>>>;
+type ResponseFuture = Pin<Box<dyn Future<Output = Result<ClientResponse, ClientError>>>>;
 
 /// The upstream's answer; dropping it cancels the request.
 pub(crate) enum Answer {
-    /// Nothing was asked, or nothing more will come.
-    None,
-    /// The request is being sent, or its head is waited for.
-    Sending(Sending),
-    /// The body comes.
+    /// No request was sent, or its answer has ended.
+    Idle,
+    /// The request is being sent, or its head is awaited.
+    Pending(ResponseFuture),
+    /// The body is being received.
     Body(Box<Body>),
 }
 
-/// A body, and what tells that it is whole.
+/// A body, with its last bytes to check that an event stream is complete.
 pub(crate) struct Body {
     response: ClientResponse,
-    /// Whether the body must end with [`DONE`].
-    events: bool,
+    /// Whether the body must end with [`FINAL_EVENT`].
+    is_event_stream: bool,
     tail: Vec<u8>,
 }
 
 impl Answer {
-    /// Hands `open` to the upstream.
+    /// Sends the request of `open` to the upstream.
     pub(crate) fn start(core: &Core, open: &Open) -> Self {
         let url = format!("{}{}", core.settings.upstream_url, open.path);
         let method = Method::from_bytes(open.method.as_bytes()).unwrap_or(Method::POST);
@@ -62,18 +62,18 @@
         for (name, value) in &open.headers {
             request = request.header(&**name, &**value);
         }
-        request = add_own_headers(request, open);
+        request = add_headers(request, open);
         let body = ntex::util::Bytes::copy_from_slice(&open.body);
-        Self::Sending(Box::pin(request.send_body(body)))
+        Self::Pending(Box::pin(request.send_body(body)))
     }
 
-    /// The next part; for ever when nothing was asked.
+    /// Waits for the next part; pends forever when idle.
     pub(crate) async fn next(&mut self) -> Part {
         match self {
-            Self::None => std::future::pending().await,
-            Self::Sending(sending) => match sending.await {
+            Self::Idle => std::future::pending().await,
+            Self::Pending(response) => match response.await {
                 Ok(response) => self.open(response),
-                Err(fault) => Part::Failed(kind(&fault)),
+                Err(error) => Part::Failed(error_kind(&error)),
             },
             Self::Body(body) => body.next().await,
         }
@@ -87,10 +87,10 @@
             .filter(|(name, _)| !HOP_HEADERS.contains(&name.as_str()))
             .filter_map(|(name, value)| Some((name.as_str().into(), value.to_str().ok()?.into())))
             .collect();
-        let events = headers.iter().any(|(name, value)| {
+        let is_event_stream = headers.iter().any(|(name, value)| {
             &**name == "content-type" && value.starts_with("text/event-stream")
         });
-        *self = Self::Body(Box::new(Body { response, events, tail: Vec::new() }));
+        *self = Self::Body(Box::new(Body { response, is_event_stream, tail: Vec::new() }));
         Part::Head { status, headers }
     }
 }
@@ -99,25 +99,27 @@
     async fn next(&mut self) -> Part {
         match self.response.next().await {
             Some(Ok(bytes)) => {
-                if self.events {
-                    self.keep_tail(&bytes);
+                if self.is_event_stream {
+                    self.update_tail(&bytes);
                 }
                 Part::Chunk(Bytes::copy_from_slice(&bytes))
             }
             Some(Err(_)) => Part::Failed(Kind::Truncated),
-            None if self.events && self.tail != DONE => Part::Failed(Kind::Truncated),
+            None if self.is_event_stream && self.tail != FINAL_EVENT => {
+                Part::Failed(Kind::Truncated)
+            }
             None => Part::Ended,
         }
     }
 
-    fn keep_tail(&mut self, bytes: &[u8]) {
+    fn update_tail(&mut self, bytes: &[u8]) {
         self.tail.extend_from_slice(bytes);
-        let surplus = self.tail.len().saturating_sub(DONE.len());
+        let surplus = self.tail.len().saturating_sub(FINAL_EVENT.len());
         self.tail.drain(..surplus);
     }
 }
 
-fn add_own_headers(mut request: ClientRequest, open: &Open) -> ClientRequest {
+fn add_headers(mut request: ClientRequest, open: &Open) -> ClientRequest {
     request = request.header("x-request-id", &*open.request);
     if let Some(key) = &open.idempotency_key {
         request = request.header("idempotency-key", client_key(key));
@@ -128,14 +130,15 @@
     request
 }
 
-/// The caller's own key: the part after the workspace.
+/// The key as the caller sent it: the part after `workspace/`.
 fn client_key(key: &str) -> &str {
     key.split_once('/').map_or(key, |(_, key)| key)
 }
 
-/// Only a connection that never stood proves that nothing ran.
-fn kind(fault: &ClientError) -> Kind {
-    match fault {
+/// Returns the error kind for a failed request: only a failed connect guarantees that
+/// nothing was sent.
+fn error_kind(error: &ClientError) -> Kind {
+    match error {
         ClientError::Connect(_) => Kind::UpstreamDown,
         _ => Kind::UpstreamLost,
     }
