--- a/components/outbound/src/answer.rs
+++ b/components/outbound/src/answer.rs
@@ -1,4 +1,4 @@
-//! Reading answers.
+//! Answers and their bodies.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -10,32 +10,32 @@
 use hyper::body::Incoming;
 use snafu::ResultExt;
 
-use crate::client::Kept;
+use crate::client::IdlePool;
 use crate::connection::Connection;
 use crate::error::{Error, InterruptedSnafu};
 
-/// How much earlier than its upstream an idle connection is given up, so that no
-/// request crosses its end.
-const MARGIN: Duration = Duration::from_secs(2);
+/// How much earlier than its upstream the client closes an idle connection, so that no
+/// request is sent while the upstream closes it.
+const IDLE_MARGIN: Duration = Duration::from_secs(2);
 
-/// An answer whose head has come.
+/// An answer whose head was received.
 #[derive(Debug)]
 pub struct Answer {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// The headers whose values are text, with names in lower case.
+    /// The headers whose values are text, with names in lowercase.
     pub headers: Vec<(Arc<str>, Arc<str>)>,
     body: Incoming,
-    /// The connection, until the answer has ended.
+    /// The connection; returned to the pool when the body has ended.
     connection: Option<Connection>,
-    kept: Rc<Kept>,
+    idle_pool: Rc<IdlePool>,
     address: Arc<str>,
-    idle: Option<Duration>,
+    idle_timeout: Option<Duration>,
 }
 
 impl Answer {
     pub(crate) fn new(
-        kept: Rc<Kept>,
+        idle_pool: Rc<IdlePool>,
         address: Arc<str>,
         connection: Connection,
         response: http::Response<Incoming>,
@@ -43,35 +43,34 @@
         let (head, body) = response.into_parts();
         Self {
             status: head.status.as_u16(),
-            headers: texts(&head.headers),
+            headers: text_headers(&head.headers),
             body,
             connection: Some(connection),
-            kept,
+            idle_pool,
             address,
-            idle: idle(&head.headers),
+            idle_timeout: idle_timeout(&head.headers),
         }
     }
 
-    /// The next part of the body; `None` after the regular end: that of the length
-    /// told, the last chunk, or the orderly end of a connection that neither was
-    /// told for.
+    /// Returns the next bytes of the body, or `None` after its regular end: by content
+    /// length, last chunk or, without either, an orderly close of the connection.
     ///
     /// # Errors
     ///
-    /// The connection broke before.
+    /// The connection ended before the end of the body.
     pub async fn next(&mut self) -> Option<Result<Bytes, Error>> {
         loop {
             match self.body.frame().await {
                 Some(Ok(frame)) => {
-                    // Trailers are of no interest.
+                    // Trailers are ignored.
                     if let Ok(bytes) = frame.into_data() {
                         return Some(Ok(bytes));
                     }
                 }
-                Some(Err(fault)) => return Some(Err(fault).context(InterruptedSnafu)),
+                Some(Err(error)) => return Some(Err(error).context(InterruptedSnafu)),
                 None => {
                     if let Some(connection) = self.connection.take() {
-                        self.kept.put(self.address.clone(), connection, self.idle);
+                        self.idle_pool.put(self.address.clone(), connection, self.idle_timeout);
                     }
                     return None;
                 }
@@ -80,17 +79,18 @@
     }
 }
 
-fn texts(headers: &HeaderMap) -> Vec<(Arc<str>, Arc<str>)> {
+fn text_headers(headers: &HeaderMap) -> Vec<(Arc<str>, Arc<str>)> {
     headers
         .iter()
         .filter_map(|(name, value)| Some((name.as_str().into(), value.to_str().ok()?.into())))
         .collect()
 }
 
-/// How long the connection may rest, as `Keep-Alive: timeout=SECONDS` says.
-fn idle(headers: &HeaderMap) -> Option<Duration> {
+/// The idle timeout from `Keep-Alive: timeout=SECONDS`, less the margin.
+fn idle_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
-    let told = value.split(',').find_map(|it| it.trim().strip_prefix("timeout="))?;
-    let told = Duration::from_secs(told.parse().ok()?);
-    Some(told.saturating_sub(MARGIN).max(told / 2))
+    let seconds =
+        value.split(',').find_map(|parameter| parameter.trim().strip_prefix("timeout="))?;
+    let timeout = Duration::from_secs(seconds.parse().ok()?);
+    Some(timeout.saturating_sub(IDLE_MARGIN).max(timeout / 2))
 }
--- a/components/outbound/src/client.rs
+++ b/components/outbound/src/client.rs
@@ -1,4 +1,4 @@
-//! Sending requests.
+//! The client and its pool of idle connections.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -16,16 +16,16 @@
 use crate::connection::Connection;
 use crate::error::{Error, InterruptedSnafu, InvalidRequestSnafu};
 
-/// A request as it goes to an upstream.
+/// A request to an upstream.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// The method.
     pub method: Arc<str>,
-    /// The path and the query.
+    /// The path and query.
     pub path: Arc<str>,
-    /// The headers, without those that concern one connection only.
+    /// The headers, without hop-by-hop headers.
     pub headers: Vec<(Arc<str>, Arc<str>)>,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
@@ -40,104 +40,115 @@
     }
 }
 
-/// A connection that waits for the next request, until it is too old.
+/// An idle connection, usable until it expires.
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// The connections that are kept, by address.
+/// The idle connections, by address.
 #[derive(Debug)]
-pub(crate) struct Kept {
-    idle: RefCell<HashMap<Arc<str>, Vec<Idle>>>,
-    keep: Duration,
+pub(crate) struct IdlePool {
+    idle: RefCell<HashMap<Arc<str>, Vec<IdleConnection>>>,
+    max_idle: Duration,
 }
 
-impl Kept {
-    /// Takes the connection to `address` that was used last, if one can be used.
+impl IdlePool {
+    /// Takes the most recently used connection to `address` that is ready; drops expired
+    /// and closed ones.
     fn take(&self, address: &str) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.get_mut(address)?;
+        let connections = idle.get_mut(address)?;
         let now = Instant::now();
-        kept.retain(|it| it.until > now && !it.connection.is_closed());
-        let place = kept.iter().rposition(|it| it.connection.is_ready());
-        let taken = place.map(|it| kept.remove(it).connection);
-        if kept.is_empty() {
+        connections.retain(|idle| idle.expires_at > now && !idle.connection.is_closed());
+        let index = connections.iter().rposition(|idle| idle.connection.is_ready());
+        let taken = index.map(|index| connections.remove(index).connection);
+        if connections.is_empty() {
             idle.remove(address);
         }
         taken
     }
 
-    /// Keeps a connection for the next request, for as long as its upstream says it
-    /// does and no longer than `keep`.
-    pub(crate) fn put(&self, address: Arc<str>, connection: Connection, told: Option<Duration>) {
+    /// Adds an idle connection. It expires after the upstream's `idle_timeout`, if known, and
+    /// after `max_idle` at the latest.
+    pub(crate) fn put(
+        &self,
+        address: Arc<str>,
+        connection: Connection,
+        idle_timeout: Option<Duration>,
+    ) {
         if connection.is_closed() {
             return;
         }
-        let until = Instant::now() + told.map_or(self.keep, |it| it.min(self.keep));
-        self.idle.borrow_mut().entry(address).or_default().push(Idle { connection, until });
+        let expires_at = Instant::now()
+            + idle_timeout.map_or(self.max_idle, |timeout| timeout.min(self.max_idle));
+        self.idle
+            .borrow_mut()
+            .entry(address)
+            .or_default()
+            .push(IdleConnection { connection, expires_at });
     }
 }
 
-/// A client that keeps connections.
+/// An HTTP/1.1 client that reuses connections.
 #[derive(Clone, Debug)]
 pub struct Client {
-    kept: Rc<Kept>,
-    connect: Duration,
+    pool: Rc<IdlePool>,
+    connect_timeout: Duration,
 }
 
 impl Client {
-    /// A client that keeps an idle connection for `keep` at most, and gives a new
-    /// one `connect` to stand.
-    pub fn new(keep: Duration, connect: Duration) -> Self {
-        Self { kept: Rc::new(Kept { idle: RefCell::default(), keep }), connect }
+    /// Creates a client that keeps idle connections for at most `max_idle` and opens new
+    /// ones within `connect_timeout`.
+    pub fn new(max_idle: Duration, connect_timeout: Duration) -> Self {
+        Self { pool: Rc::new(IdlePool { idle: RefCell::default(), max_idle }), connect_timeout }
     }
 
-    /// Sends a request to `address` on a kept connection, or on a new one if there is
-    /// none or it is to be `fresh`, and waits for the head of its answer. Dropping the
-    /// future, or the answer before its end, ends the connection.
+    /// Sends a request to `address` and waits for the head of its answer. Uses an idle
+    /// connection, or a new one if there is none or `new_connection` is set. Dropping the
+    /// future, or the answer before its end, closes the connection.
     ///
     /// # Errors
     ///
-    /// No connection could be opened, or the one used ended.
+    /// The request is invalid, no connection could be opened, or the connection ended.
     pub async fn send(
         &self,
         address: Arc<str>,
         request: Request,
-        fresh: bool,
+        new_connection: bool,
     ) -> Result<Answer, Error> {
         let mut request = request.build()?;
-        let kept = || if fresh { None } else { self.kept.take(&address) };
-        while let Some(mut connection) = kept() {
+        let take_idle = || if new_connection { None } else { self.pool.take(&address) };
+        while let Some(mut connection) = take_idle() {
             match connection.sender.try_send_request(request).await {
                 Ok(response) => return Ok(self.answer(address, connection, response)),
-                Err(mut fault) => match fault.take_message() {
-                    // It ended before anything was written.
+                Err(mut error) => match error.take_message() {
+                    // The connection ended before anything was written.
                     Some(unsent) => request = unsent,
-                    None => return Err(fault.into_error()).context(InterruptedSnafu),
+                    None => return Err(error.into_error()).context(InterruptedSnafu),
                 },
             }
         }
-        let mut connection = Connection::open(&address, self.connect).await?;
+        let mut connection = Connection::open(&address, self.connect_timeout).await?;
         let sent = connection.sender.send_request(request).await;
         Ok(self.answer(address, connection, sent.context(InterruptedSnafu)?))
     }
 
-    /// Opens a connection to `address` and keeps it for the next request.
+    /// Opens a connection to `address` and adds it to the idle ones.
     ///
     /// # Errors
     ///
-    /// None could be opened.
+    /// The connection could not be opened.
     pub async fn preconnect(&self, address: &Arc<str>) -> Result<(), Error> {
-        let connection = Connection::open(address, self.connect).await?;
-        self.kept.put(address.clone(), connection, None);
+        let connection = Connection::open(address, self.connect_timeout).await?;
+        self.pool.put(address.clone(), connection, None);
         Ok(())
     }
 
-    /// Closes the connections to `address` that wait for a request.
+    /// Closes the idle connections to `address`.
     pub fn close_idle(&self, address: &str) {
-        self.kept.idle.borrow_mut().remove(address);
+        self.pool.idle.borrow_mut().remove(address);
     }
 
     fn answer(
@@ -146,6 +157,6 @@
         connection: Connection,
         response: http::Response<Incoming>,
     ) -> Answer {
-        Answer::new(self.kept.clone(), address, connection, response)
+        Answer::new(self.pool.clone(), address, connection, response)
     }
 }
--- a/components/outbound/src/connection.rs
+++ b/components/outbound/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an upstream.
+//! A connection to an upstream.
 
 use std::time::Duration;
 
@@ -13,13 +13,12 @@
 use crate::Error;
 use crate::error::{ConnectSnafu, InterruptedSnafu};
 
-/// The room for what was read and not yet taken, in bytes. The heads of the
-/// sites' answers have a few hundred; the library's own 400 KB would let a slow
-/// caller's answer fill the memory of a small host.
-const BUFFER: usize = 16 * 1024;
+/// Limit of buffered bytes that were read from a connection and not yet taken, so that
+/// answers to slow callers don't exhaust the memory of a small host.
+const MAX_BUFFER_BYTES: usize = 16 * 1024;
 
-/// A connection that stands, and the task that reads and writes it. It ends when
-/// this is dropped, which cancels a request that is under way on it.
+/// An open connection and the task that drives it. Dropping it closes the connection and
+/// cancels a request in flight.
 #[derive(Debug)]
 pub(crate) struct Connection {
     pub sender: SendRequest<Full<Bytes>>,
@@ -27,28 +26,28 @@
 }
 
 impl Connection {
-    /// Opens a connection to `address` within `limit`.
-    pub(crate) async fn open(address: &str, limit: Duration) -> Result<Self, Error> {
-        let opened = tokio::time::timeout(limit, TcpStream::connect(address)).await;
+    /// Opens a connection to `address` within `timeout`.
+    pub(crate) async fn open(address: &str, timeout: Duration) -> Result<Self, Error> {
+        let opened = tokio::time::timeout(timeout, TcpStream::connect(address)).await;
         let stream = opened.map_err(|_| Error::Timeout)?.context(ConnectSnafu)?;
         stream.set_nodelay(true).context(ConnectSnafu)?;
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(BUFFER);
+        builder.max_buf_size(MAX_BUFFER_BYTES);
         let (sender, driver) =
             builder.handshake(TokioIo::new(stream)).await.context(InterruptedSnafu)?;
         let task = tokio::task::spawn_local(async move {
-            // How it ends is told to whoever waits for an answer on it.
+            // An error is returned by the request in flight.
             let _ = driver.await;
         });
         Ok(Self { sender, task })
     }
 
-    /// Whether it can take a request now.
+    /// Whether a request can be sent now.
     pub(crate) fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Whether it has ended.
+    /// Whether the connection has ended.
     pub(crate) fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
--- a/components/outbound/src/error.rs
+++ b/components/outbound/src/error.rs
@@ -1,38 +1,38 @@
-//! Why a request got no answer.
+//! Errors of requests.
 
 use std::io::ErrorKind;
 
 use snafu::Snafu;
 
-/// Why a request got no answer, or no whole one.
+/// Why a request got no answer, or an incomplete one.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The request can't be written as HTTP; nothing was sent.
-    #[snafu(display("the request can't be written: {source}"))]
+    /// The request is not valid HTTP; nothing was sent.
+    #[snafu(display("invalid request: {source}"))]
     InvalidRequest {
-        /// What is wrong with it.
+        /// What is invalid.
         source: http::Error,
     },
-    /// No connection could be opened; nothing was sent.
-    #[snafu(display("no connection: {source}"))]
+    /// The connection could not be opened; nothing was sent.
+    #[snafu(display("can't connect: {source}"))]
     Connect {
-        /// What the system says.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// A new connection did not stand in time; nothing was sent.
-    #[snafu(display("no connection in time"))]
+    /// The connection was not opened in time; nothing was sent.
+    #[snafu(display("timed out connecting"))]
     Timeout,
-    /// The connection ended before the answer was whole.
+    /// The connection ended before the answer was complete.
     #[snafu(display("the connection ended: {source}"))]
     Interrupted {
-        /// What the HTTP library says.
+        /// The HTTP library's error.
         source: hyper::Error,
     },
 }
 
 impl Error {
-    /// Whether the host says that nobody listens at the address.
+    /// Whether the host refused the connection: no process listens at the address.
     pub fn is_connection_refused(&self) -> bool {
         matches!(self, Self::Connect { source } if source.kind() == ErrorKind::ConnectionRefused)
     }
--- a/components/outbound/src/lib.rs
+++ b/components/outbound/src/lib.rs
@@ -1,9 +1,9 @@
-//! HTTP/1.1 requests to upstreams over kept connections.
+//! An HTTP/1.1 client for upstreams, with reuse of idle connections.
 //!
-//! A [`Client`] sends each request on a connection of its own, a kept one if
-//! there is one. What matters to a router is told exactly: whether any byte of a
-//! request may have reached its upstream ([`Error`]), and whether an answer ended
-//! as it should, also where its end is that of the connection ([`Answer::next`]).
+//! Errors distinguish requests of which no byte was sent from those that may have
+//! reached the upstream ([`Error::may_have_been_sent`]). An answer that was cut short is
+//! an error, also where the end of its body is the end of the connection
+//! ([`Answer::next`]).
 
 mod answer;
 mod client;
