--- a/components/clock/src/lib.rs
+++ b/components/clock/src/lib.rs
@@ -1,8 +1,7 @@
 //! Time in milliseconds.
 //!
-//! [`Millis`] is the only time type that crosses a component's boundary.
-//! Reducers get the current time as an argument; only [`Clock`], at the edge of
-//! a process, reads it.
+//! [`Millis`] is the time type of all interfaces between components. Reducers get the
+//! current time as an argument; only [`Clock`] reads it from the host.
 
 use std::fmt;
 use std::ops::{Add, Sub};
@@ -19,16 +18,16 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// No time at all.
+    /// The zero duration.
     pub const ZERO: Self = Self(0);
 
-    /// The time left until `later`, zero when it has passed.
+    /// The time from `self` to `later`, zero if `later` is in the past.
     #[must_use]
     pub fn until(self, later: Self) -> Self {
         Self(later.0.saturating_sub(self.0))
     }
 
-    /// The same length as a [`Duration`].
+    /// Converts to a [`Duration`].
     pub const fn duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
@@ -56,63 +55,62 @@
     }
 }
 
-/// A clock that starts near the wall time of its creation and never goes back.
+/// A monotonic clock that starts at the wall time of its creation.
 ///
-/// Differences between two readings are what has really passed, whatever happens to the wall
-/// clock of the host, and also while the host was suspended: the runtime's timers do not count
-/// that time. By a clock that leaves it out a router that wakes would take its configuration,
-/// and keys that were taken away meanwhile, for as fresh as before.
+/// Changes of the host's wall clock don't affect it. Unlike the runtime's timers, it counts
+/// time during which the host was suspended, so that after a resume a router recognizes
+/// its configuration, which may hold revoked keys, as outdated.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    /// What the host's clock said at the start.
+    /// The time since boot at the clock's creation.
     started: Duration,
-    wall: Millis,
+    wall_start: Millis,
 }
 
 impl Clock {
-    /// A clock set from the host's wall time.
+    /// Creates a clock set to the host's wall time.
     pub fn new() -> Self {
-        let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { started: since_boot(), wall: millis(wall) }
+        let wall_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Self { started: since_boot(), wall_start: millis(wall_start) }
     }
 
     /// The current time, in milliseconds since the Unix epoch.
     pub fn now(&self) -> Millis {
-        self.wall + millis(since_boot().saturating_sub(self.started))
+        self.wall_start + millis(since_boot().saturating_sub(self.started))
     }
 }
 
-/// The time since the host's start, suspension included where the host counts it.
+/// The time since the host's boot, including suspension where the host supports it.
 fn since_boot() -> Duration {
-    let told = clock_gettime(ClockId::CLOCK_BOOTTIME);
-    let told = told.or_else(|_| clock_gettime(ClockId::CLOCK_MONOTONIC));
-    told.map(Duration::from).unwrap_or_default()
+    let time = clock_gettime(ClockId::CLOCK_BOOTTIME);
+    let time = time.or_else(|_| clock_gettime(ClockId::CLOCK_MONOTONIC));
+    time.map(Duration::from).unwrap_or_default()
 }
 
 fn millis(time: Duration) -> Millis {
     Millis(u64::try_from(time.as_millis()).unwrap_or(u64::MAX))
 }
 
-/// Notices that the host was suspended, by the time that the runtime's timers leave out.
+/// Detects suspensions of the host by the time that the runtime's timers don't count.
 #[derive(Clone, Copy, Debug)]
 pub struct Suspension {
     clock: Clock,
-    counted: Instant,
-    real: Millis,
+    runtime_time: Instant,
+    clock_time: Millis,
 }
 
 impl Suspension {
-    /// Begins to watch.
+    /// Starts detecting at the current time.
     pub fn new(clock: Clock) -> Self {
-        Self { clock, counted: Instant::now(), real: clock.now() }
+        Self { clock, runtime_time: Instant::now(), clock_time: clock.now() }
     }
 
-    /// For how long the host was suspended since this was asked last.
+    /// Returns how long the host was suspended since the last call or the creation.
     pub fn take_elapsed(&mut self) -> Millis {
-        let counted = millis(self.counted.elapsed());
-        let slept = counted.until(self.real.until(self.clock.now()));
+        let runtime_time = millis(self.runtime_time.elapsed());
+        let suspended = runtime_time.until(self.clock_time.until(self.clock.now()));
         *self = Self::new(self.clock);
-        slept
+        suspended
     }
 }
 
--- a/components/events/src/lib.rs
+++ b/components/events/src/lib.rs
@@ -1,5 +1,5 @@
-//! Server-sent events: splitting a stream into whole events, and keeping each
-//! one once when a stream goes on at another upstream.
+//! Splitting of server-sent event streams into complete events, without duplicates when a
+//! stream is resumed at another upstream.
 
 mod splitter;
 
--- a/components/events/src/splitter.rs
+++ b/components/events/src/splitter.rs
@@ -1,104 +1,111 @@
-//! Splitting an answer into server-sent events.
+//! Splits an answer into server-sent events.
 //!
-//! Only whole events are passed on: an upstream may break off inside one, and
-//! the rest of the answer may then come from another upstream.
+//! Only complete events are forwarded: if an upstream fails within an event, the answer
+//! can be resumed at another upstream after the last complete one.
 
 use bytes::{Bytes, BytesMut};
 use snafu::Snafu;
 
-/// What ends an event.
-const END: &[u8] = b"\n\n";
+/// The blank line that ends an event.
+const TERMINATOR: &[u8] = b"\n\n";
 
-/// The field that holds an event's number.
-const ID: &[u8] = b"id:";
+/// The field with an event's id, which is a number.
+const ID_FIELD: &[u8] = b"id:";
 
-/// The largest event, in bytes.
-const MAX_EVENT: usize = 1024 * 1024;
+/// Limit of the size of an event.
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// Takes bytes in and gives whole events out.
+/// Buffers the bytes of a stream and returns complete events.
 #[derive(Debug, Default)]
 pub struct Splitter {
-    rest: BytesMut,
-    /// The number of the last event that was passed on.
-    last: Option<u64>,
+    buffer: BytesMut,
+    /// The id of the last event that was returned.
+    last_id: Option<u64>,
 }
 
-/// Events that can't be part of the answer.
+/// An invalid event stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// An event is missing.
+    /// The ids skip at least one event.
     #[snafu(display("an event is missing"))]
     Gap,
-    /// An event is too large.
+    /// An event exceeds the size limit.
     #[snafu(display("an event is too large"))]
     TooLarge,
 }
 
 impl Splitter {
-    /// A splitter for an answer whose events up to `last` were passed on.
-    pub fn resume_after(last: Option<u64>) -> Self {
-        Self { rest: BytesMut::new(), last }
+    /// Creates a splitter that leaves out events up to the id `last`.
+    pub fn resume_after(last_id: Option<u64>) -> Self {
+        Self { buffer: BytesMut::new(), last_id }
     }
 
-    /// The number of the last event that was passed on.
+    /// The id of the last event that was returned.
     pub fn last_id(&self) -> Option<u64> {
-        self.last
+        self.last_id
     }
 
-    /// Whether there is a part of an event.
+    /// Whether the buffer holds part of an event.
     pub fn is_partial(&self) -> bool {
-        !self.rest.is_empty()
+        !self.buffer.is_empty()
     }
 
-    /// Takes `bytes` in and returns the events that are whole now. Events that
-    /// were passed on before are left out.
+    /// Adds bytes of the stream and returns the events that are complete now, without
+    /// those returned before.
     ///
     /// # Errors
     ///
-    /// A gap in the numbers, or an event that is too large.
+    /// A gap in the ids, or an event that is too large.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, Error> {
-        let scanned = self.rest.len().saturating_sub(END.len() - 1);
-        self.rest.extend_from_slice(bytes);
-        let Some(whole) = last_end(&self.rest[scanned..]).map(|it| it + scanned) else {
-            return if self.rest.len() > MAX_EVENT {
+        let scanned = self.buffer.len().saturating_sub(TERMINATOR.len() - 1);
+        self.buffer.extend_from_slice(bytes);
+        let Some(end) = last_event_end(&self.buffer[scanned..]).map(|end| end + scanned) else {
+            return if self.buffer.len() > MAX_EVENT_BYTES {
                 Err(Error::TooLarge)
             } else {
                 Ok(Bytes::new())
             };
         };
-        let mut events = self.rest.split_to(whole).freeze();
-        let mut kept = BytesMut::with_capacity(events.len());
-        while let Some(end) = first_end(&events) {
+        let mut events = self.buffer.split_to(end).freeze();
+        let mut new_events = BytesMut::with_capacity(events.len());
+        while let Some(end) = first_event_end(&events) {
             let event = events.split_to(end);
-            if self.is_next(&event)? {
-                kept.extend_from_slice(&event);
+            if self.record_event(&event)? {
+                new_events.extend_from_slice(&event);
             }
         }
-        Ok(kept.freeze())
+        Ok(new_events.freeze())
     }
 
-    /// Whether `event` is to be passed on; its number is noted.
-    fn is_next(&mut self, event: &[u8]) -> Result<bool, Error> {
-        let Some(id) = number(event) else { return Ok(true) };
-        match self.last {
-            Some(last) if id <= last => return Ok(false),
-            Some(last) if id > last + 1 => return Err(Error::Gap),
+    /// Records the id of `event`; returns whether the event is new. Events without an id
+    /// always are.
+    fn record_event(&mut self, event: &[u8]) -> Result<bool, Error> {
+        let Some(id) = event_id(event) else { return Ok(true) };
+        match self.last_id {
+            Some(last_id) if id <= last_id => return Ok(false),
+            Some(last_id) if id > last_id + 1 => return Err(Error::Gap),
             _ => {}
         }
-        self.last = Some(id);
+        self.last_id = Some(id);
         Ok(true)
     }
 }
 
-fn first_end(bytes: &[u8]) -> Option<usize> {
-    bytes.windows(END.len()).position(|it| it == END).map(|it| it + END.len())
+fn first_event_end(bytes: &[u8]) -> Option<usize> {
+    bytes
+        .windows(TERMINATOR.len())
+        .position(|window| window == TERMINATOR)
+        .map(|start| start + TERMINATOR.len())
 }
 
-fn last_end(bytes: &[u8]) -> Option<usize> {
-    bytes.windows(END.len()).rposition(|it| it == END).map(|it| it + END.len())
+fn last_event_end(bytes: &[u8]) -> Option<usize> {
+    bytes
+        .windows(TERMINATOR.len())
+        .rposition(|window| window == TERMINATOR)
+        .map(|start| start + TERMINATOR.len())
 }
 
-fn number(event: &[u8]) -> Option<u64> {
-    let line = event.split(|it| *it == b'\n').find(|line| line.starts_with(ID))?;
-    std::str::from_utf8(&line[ID.len()..]).ok()?.trim().parse().ok()
+fn event_id(event: &[u8]) -> Option<u64> {
+    let line = event.split(|byte| *byte == b'\n').find(|line| line.starts_with(ID_FIELD))?;
+    std::str::from_utf8(&line[ID_FIELD.len()..]).ok()?.trim().parse().ok()
 }
--- a/components/events/tests/splitter.rs
+++ b/components/events/tests/splitter.rs
@@ -1,4 +1,4 @@
-//! Streams cut anywhere, and streams that are not what they should be.
+//! Tests with streams in chunks of any length, resumed streams and invalid ones.
 
 use events::{Error, Splitter};
 use proptest::prelude::*;
@@ -7,75 +7,77 @@
     format!("id: {id}\ndata: {data}\n\n")
 }
 
-/// What a splitter lets through of `bytes`, fed in parts of these lengths.
-fn feed(splitter: &mut Splitter, bytes: &[u8], lengths: &[usize]) -> Result<Vec<u8>, Error> {
-    let mut passed = Vec::new();
-    let mut rest = bytes;
-    for length in lengths.iter().cycle() {
-        if rest.is_empty() {
+/// Feeds `bytes` to the splitter in chunks of these lengths, repeated; returns what it
+/// forwards.
+fn feed(splitter: &mut Splitter, bytes: &[u8], chunk_lengths: &[usize]) -> Result<Vec<u8>, Error> {
+    let mut forwarded = Vec::new();
+    let mut remaining = bytes;
+    for length in chunk_lengths.iter().cycle() {
+        if remaining.is_empty() {
             break;
         }
-        let (part, after) = rest.split_at((*length).clamp(1, rest.len()));
-        passed.extend_from_slice(&splitter.push(part)?);
-        rest = after;
+        let (chunk, after) = remaining.split_at((*length).clamp(1, remaining.len()));
+        forwarded.extend_from_slice(&splitter.push(chunk)?);
+        remaining = after;
     }
-    Ok(passed)
+    Ok(forwarded)
 }
 
 proptest! {
     #[test]
-    fn whole_events_pass_unchanged_wherever_they_are_cut(
+    fn forwards_complete_events_unchanged_for_any_chunk_lengths(
         data in prop::collection::vec("[ -~]{0,20}", 1..20),
-        lengths in prop::collection::vec(1_usize..40, 1..8),
-        torn in "[a-z: ]{0,10}",
+        chunk_lengths in prop::collection::vec(1_usize..40, 1..8),
+        partial in "[a-z: ]{0,10}",
     ) {
-        let whole: String = (1..).zip(&data).map(|(id, it)| event(id, it)).collect();
+        let complete: String = (1..).zip(&data).map(|(id, data)| event(id, data)).collect();
         let mut splitter = Splitter::default();
-        let passed = feed(&mut splitter, format!("{whole}{torn}").as_bytes(), &lengths).unwrap();
-        prop_assert_eq!(passed, whole.as_bytes());
+        let forwarded =
+            feed(&mut splitter, format!("{complete}{partial}").as_bytes(), &chunk_lengths).unwrap();
+        prop_assert_eq!(forwarded, complete.as_bytes());
         prop_assert_eq!(splitter.last_id(), Some(data.len() as u64));
-        prop_assert_eq!(splitter.is_partial(), !torn.is_empty());
+        prop_assert_eq!(splitter.is_partial(), !partial.is_empty());
     }
 
     #[test]
-    fn a_stream_that_goes_on_elsewhere_has_each_event_once(
+    fn forwards_each_event_once_when_a_stream_is_resumed(
         count in 1_u64..20,
-        broke_after in 0_u64..20,
-        begins_at in 1_u64..20,
-        lengths in prop::collection::vec(1_usize..40, 1..8),
+        broken_after in 0_u64..20,
+        resumed_at in 1_u64..20,
+        chunk_lengths in prop::collection::vec(1_usize..40, 1..8),
     ) {
-        let broke_after = broke_after.min(count);
-        let begins_at = begins_at.min(broke_after + 1);
+        let broken_after = broken_after.min(count);
+        let resumed_at = resumed_at.min(broken_after + 1);
         let events = |from: u64, to: u64| (from..=to).map(|id| event(id, "x")).collect::<String>();
-        let mut splitter = Splitter::resume_after((broke_after > 0).then_some(broke_after));
-        let second = events(begins_at.max(u64::from(broke_after == 0)), count);
-        let passed = feed(&mut splitter, second.as_bytes(), &lengths).unwrap();
-        prop_assert_eq!(String::from_utf8(passed).unwrap(), events(broke_after + 1, count));
+        let mut splitter = Splitter::resume_after((broken_after > 0).then_some(broken_after));
+        let second = events(resumed_at.max(u64::from(broken_after == 0)), count);
+        let forwarded = feed(&mut splitter, second.as_bytes(), &chunk_lengths).unwrap();
+        prop_assert_eq!(String::from_utf8(forwarded).unwrap(), events(broken_after + 1, count));
     }
 
     #[test]
-    fn an_event_that_is_missing_is_noticed(last in 1_u64..1000, missing in 1_u64..1000) {
+    fn fails_on_a_gap_in_the_ids(last in 1_u64..1000, missing in 1_u64..1000) {
         let mut splitter = Splitter::resume_after(Some(last));
-        let jump = event(last + 1 + missing, "x");
-        prop_assert_eq!(splitter.push(jump.as_bytes()), Err(Error::Gap));
+        let later = event(last + 1 + missing, "x");
+        prop_assert_eq!(splitter.push(later.as_bytes()), Err(Error::Gap));
     }
 
     #[test]
-    fn hostile_bytes_never_pass_in_part(
+    fn forwards_only_complete_events_of_arbitrary_bytes(
         bytes in prop::collection::vec(prop::sample::select(b"id: 019\n\r\0\xffx".to_vec()), 0..300),
-        lengths in prop::collection::vec(1_usize..40, 1..8),
+        chunk_lengths in prop::collection::vec(1_usize..40, 1..8),
     ) {
         let mut splitter = Splitter::default();
-        if let Ok(passed) = feed(&mut splitter, &bytes, &lengths) {
-            prop_assert!(passed.is_empty() || passed.ends_with(b"\n\n"));
+        if let Ok(forwarded) = feed(&mut splitter, &bytes, &chunk_lengths) {
+            prop_assert!(forwarded.is_empty() || forwarded.ends_with(b"\n\n"));
         }
     }
 }
 
 #[test]
-fn an_endless_event_is_given_up() {
+fn fails_on_an_event_over_the_size_limit() {
     let mut splitter = Splitter::default();
-    let part = vec![b'x'; 64 * 1024];
-    let fault = (0..100).find_map(|_| splitter.push(&part).err());
-    assert_eq!(fault, Some(Error::TooLarge));
+    let chunk = vec![b'x'; 64 * 1024];
+    let error = (0..100).find_map(|_| splitter.push(&chunk).err());
+    assert_eq!(error, Some(Error::TooLarge));
 }
--- a/components/process/src/announce.rs
+++ b/components/process/src/announce.rs
@@ -1,9 +1,9 @@
-//! Telling whoever started the process where it listens.
+//! Prints the process's addresses for the parent process.
 
 use std::io::Write;
 
-/// Prints one JSON line with the addresses, such as
-/// `{"ready":{"listen":"127.0.0.1:4000"}}`, and flushes it.
+/// Prints the addresses to standard output as one JSON line, such as
+/// `{"ready":{"listen":"127.0.0.1:4000"}}`.
 pub fn announce(addresses: &[(&str, String)]) {
     let map: serde_json::Map<_, _> = addresses
         .iter()
--- a/components/process/src/bind.rs
+++ b/components/process/src/bind.rs
@@ -4,7 +4,7 @@
 
 use snafu::{ResultExt, Snafu};
 
-/// An address that can't be listened on.
+/// Listening on an address failed.
 #[derive(Debug, Snafu)]
 #[snafu(display("can't listen on {address}: {source}"))]
 pub struct Error {
@@ -12,11 +12,11 @@
     source: std::io::Error,
 }
 
-/// A listening socket and its address; port 0 takes any free port.
+/// Binds a listening socket; returns it with its address. Port 0 selects a free port.
 ///
 /// # Errors
 ///
-/// The address is taken or not of this host.
+/// The address is invalid, in use, or not an address of this host.
 pub fn bind(address: &str) -> Result<(TcpListener, SocketAddr), Error> {
     let listener = TcpListener::bind(address).context(Snafu { address })?;
     let local = listener.local_addr().context(Snafu { address })?;
--- a/components/process/src/hangup.rs
+++ b/components/process/src/hangup.rs
@@ -1,24 +1,24 @@
-//! SIGHUP: the settings have changed.
+//! SIGHUP, which requests that the settings are reloaded.
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Hears SIGHUP, which would end the process otherwise.
+/// A listener for SIGHUP, which replaces the default action of ending the process.
 #[derive(Debug)]
 pub struct Hangup {
     signal: Signal,
 }
 
 impl Hangup {
-    /// Begins to listen.
+    /// Installs the signal handler.
     ///
     /// # Errors
     ///
-    /// The signal can't be listened for.
+    /// The handler can't be installed.
     pub fn listen() -> std::io::Result<Self> {
         Ok(Self { signal: signal(SignalKind::hangup())? })
     }
 
-    /// Waits for the next signal; `None` when there will be no more.
+    /// Waits for the next signal; `None` if no more can be received.
     pub async fn next(&mut self) -> Option<()> {
         self.signal.recv().await
     }
--- a/components/process/src/lib.rs
+++ b/components/process/src/lib.rs
@@ -1,4 +1,4 @@
-//! What every process of the fleet does alike: listen, announce, stop.
+//! Shared by the processes of the fleet: sockets, HTTP client, signals and planned stops.
 
 mod announce;
 mod bind;
--- a/components/process/src/shutdown.rs
+++ b/components/process/src/shutdown.rs
@@ -1,65 +1,65 @@
-//! Stopping in an orderly way.
+//! Planned stops.
 
 use std::sync::Arc;
 
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-/// How far a stop has come.
+/// The progress of a stop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 enum Stage {
     #[default]
     Running,
     Requested,
-    Done,
+    Finished,
 }
 
-/// The stop of one process, shared by its threads.
+/// The planned stop of a process; clones share its state.
 #[derive(Clone, Debug)]
 pub struct Shutdown {
     stage: Arc<watch::Sender<Stage>>,
 }
 
 impl Shutdown {
-    /// A process that runs.
+    /// Creates the handle of a running process.
     pub fn new() -> Self {
         Self { stage: Arc::new(watch::Sender::new(Stage::Running)) }
     }
 
-    /// Asks the process to finish what is in flight and stop.
+    /// Requests that the process finishes what is in flight and stops.
     pub fn request(&self) {
-        self.raise(Stage::Requested);
+        self.advance_to(Stage::Requested);
     }
 
-    /// Says that nothing is in flight any more.
+    /// Marks the stop as finished: nothing is in flight.
     pub fn finish(&self) {
-        self.raise(Stage::Done);
+        self.advance_to(Stage::Finished);
     }
 
-    /// Whether a stop was asked for.
+    /// Whether a stop was requested.
     pub fn is_requested(&self) -> bool {
         *self.stage.borrow() >= Stage::Requested
     }
 
-    /// Waits until a stop is asked for.
+    /// Waits until a stop is requested.
     pub async fn requested(&self) {
-        self.reached(Stage::Requested).await;
+        self.wait_until(Stage::Requested).await;
     }
 
-    /// Waits until nothing is in flight any more.
+    /// Waits until the stop is finished.
     pub async fn finished(&self) {
-        self.reached(Stage::Done).await;
+        self.wait_until(Stage::Finished).await;
     }
 
-    fn raise(&self, stage: Stage) {
+    fn advance_to(&self, stage: Stage) {
         self.stage.send_if_modified(|current| {
-            let raised = stage > *current;
+            let is_later = stage > *current;
             *current = stage.max(*current);
-            raised
+            is_later
         });
     }
 
-    async fn reached(&self, stage: Stage) {
+    async fn wait_until(&self, stage: Stage) {
         let mut receiver = self.stage.subscribe();
         let _ = receiver.wait_for(|current| *current >= stage).await;
     }
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     ///
-    /// The signals can't be listened for.
+    /// A signal handler can't be installed.
     pub async fn wait_for_signal() -> std::io::Result<()> {
         let mut term = signal(SignalKind::terminate())?;
         let mut int = signal(SignalKind::interrupt())?;
--- a/components/telemetry/src/lib.rs
+++ b/components/telemetry/src/lib.rs
@@ -1,7 +1,7 @@
 //! Logs, metrics and traces.
 //!
-//! Logs are JSON lines, metrics are read as Prometheus text, traces go over
-//! OTLP/HTTP to a collector where the settings name one and are off elsewhere.
+//! Logs are JSON lines, metrics are rendered as Prometheus text. Traces are sent to a
+//! collector over OTLP/HTTP if one is configured.
 
 mod log;
 mod metrics;
--- a/components/telemetry/src/log.rs
+++ b/components/telemetry/src/log.rs
@@ -1,4 +1,4 @@
-//! JSON-lines logs.
+//! Logs as JSON lines.
 
 use std::num::NonZeroUsize;
 use std::sync::Arc;
@@ -7,23 +7,23 @@
 use spdlog::sink::{AsyncPoolSink, OverflowPolicy, StdStream, StdStreamSink};
 use spdlog::{LevelFilter, Logger, ThreadPool};
 
-/// How much is logged.
+/// The least severe level that is logged.
 pub type Level = spdlog::Level;
 
-/// How many lines wait for a reader that is slow; about 2 MB. Lines beyond are
-/// dropped: a log never holds up a request.
-const MAX_WAITING: NonZeroUsize = NonZeroUsize::new(4_096).expect("above zero");
+/// Maximum number of lines that are queued for writing. Further lines are dropped, so that
+/// logging never blocks a request.
+const MAX_QUEUED_LINES: NonZeroUsize = NonZeroUsize::new(4_096).expect("not zero");
 
-/// Where logs go.
+/// The output stream of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stream {
-    /// Standard output, where the platform collects them.
+    /// Standard output, for processes whose output is collected as logs.
     Stdout,
-    /// Standard error, beside what a person reads on standard output.
+    /// Standard error, for processes that print other output.
     Stderr,
 }
 
-/// The log of a process; the lines that wait are written when it is dropped.
+/// Keeps the log of a process running; dropping it writes the queued lines.
 pub struct LogGuard {
     _pool: Arc<ThreadPool>,
 }
@@ -36,19 +36,19 @@
 
 impl Drop for LogGuard {
     fn drop(&mut self) {
-        // The pool finishes what waits when its last user, the logger, is gone.
+        // The thread pool writes the queued lines once the last logger using it is dropped.
         if let Ok(silent) = Logger::builder().build() {
             spdlog::set_default_logger(Arc::new(silent));
         }
     }
 }
 
-/// Makes JSON lines on `stream` the default of the process; lines below `level`
-/// are left out. A thread of their own writes them.
+/// Sets the process's default logger, which writes JSON lines of at least `level` to
+/// `stream` from a thread of its own.
 ///
 /// # Errors
 ///
-/// The logger can't be built.
+/// The logger can't be created.
 pub fn init_logs(level: Level, stream: Stream) -> Result<LogGuard, spdlog::Error> {
     let formatter = JsonFormatter::new();
     let stream = match stream {
@@ -56,12 +56,12 @@
         Stream::Stderr => StdStream::Stderr,
     };
     let sink = StdStreamSink::builder().std_stream(stream).formatter(formatter).build_arc()?;
-    let pool = ThreadPool::builder().capacity(MAX_WAITING).build_arc()?;
+    let pool = ThreadPool::builder().capacity(MAX_QUEUED_LINES).build_arc()?;
     let sink = AsyncPoolSink::builder()
         .sink(sink)
         .thread_pool(pool.clone())
         .overflow_policy(OverflowPolicy::DropIncoming)
-        // Telling of a dropped line would be one more line.
+        // Reporting dropped lines would add lines to a full queue.
         .error_handler(|_| {})
         .build_arc()?;
     let filter = LevelFilter::MoreSevereEqual(level);
