--- a/src/bin/silverstack-experiment.rs
+++ b/src/bin/silverstack-experiment.rs
@@ -1,4 +1,4 @@
-//! Patterns of load against the real reducer, without sockets or clocks.
+//! Simulates patterns of load on the routing reducer, without sockets or clocks.
 
 use std::process::ExitCode;
 
@@ -10,7 +10,7 @@
 /// The program's name.
 const NAME: &str = "silverstack-experiment";
 
-/// Plays a pattern of load and prints, for each second, what became of its requests.
+/// Runs a pattern of load and prints the outcomes of its requests for each second.
 #[derive(Debug, Options)]
 #[expect(clippy::struct_excessive_bools, reason = "they are flags")]
 struct Arguments {
@@ -18,13 +18,13 @@
     help: bool,
     /// Print name and version.
     version: bool,
-    /// The pattern: calm, surge, engines-lost or slow-engines; all if none is named.
+    /// The pattern: calm, surge, engines-lost or slow-engines; all if none is given.
     #[options(free)]
     pattern: Option<String>,
-    /// What everything is drawn from.
+    /// The seed of all random numbers.
     #[options(meta = "N", default = "1")]
     seed: u64,
-    /// Turn nothing away, to compare with.
+    /// Disable admission control, for comparison.
     no_admission: bool,
     /// Print JSON lines.
     json: bool,
@@ -37,7 +37,7 @@
     }
     let patterns = match patterns(arguments.pattern.as_deref()) {
         Ok(patterns) => patterns,
-        Err(fault) => return cli::fail(NAME, fault, cli::EXIT_USAGE),
+        Err(error) => return cli::fail(NAME, error, cli::EXIT_USAGE),
     };
     let admission = !arguments.no_admission;
     let mechanisms = Mechanisms { admission, ..Mechanisms::default() };
@@ -53,12 +53,12 @@
     ExitCode::from(cli::EXIT_OK)
 }
 
-/// The pattern of that name, or all.
+/// Returns the pattern with that name, or all patterns.
 fn patterns(name: Option<&str>) -> Result<Vec<Pattern>, String> {
     let Some(name) = name else {
         return Ok(Pattern::ALL.to_vec());
     };
-    let known = Pattern::ALL.map(Pattern::name).join(", ");
-    let unknown = || format!("there is no pattern {name}: {known}");
-    Pattern::find(name).map(|it| vec![it]).ok_or_else(unknown)
+    let names = Pattern::ALL.map(Pattern::name).join(", ");
+    let unknown = || format!("unknown pattern {name}, expected one of: {names}");
+    Pattern::find(name).map(|pattern| vec![pattern]).ok_or_else(unknown)
 }
--- a/src/bin/silverstack-local.rs
+++ b/src/bin/silverstack-local.rs
@@ -1,4 +1,4 @@
-//! The whole path in one process, to try silverstack on a laptop.
+//! Runs a complete fleet in one process, to try silverstack on a laptop.
 
 use std::process::ExitCode;
 
@@ -18,24 +18,24 @@
     help: bool,
     /// Print name and version.
     version: bool,
-    /// Entry hosts.
+    /// Number of routers.
     #[options(meta = "N", default = "2")]
     routers: usize,
-    /// Model engines.
+    /// Number of model engines.
     #[options(meta = "N", default = "6")]
     engines: usize,
-    /// Plain services.
+    /// Number of plain services.
     #[options(meta = "N", default = "3")]
     services: usize,
-    /// Chats to send.
+    /// Number of chats to send.
     #[options(meta = "N", default = "12")]
     chats: usize,
-    /// Turns of each chat.
+    /// Number of turns of each chat.
     #[options(meta = "N", default = "4")]
     turns: usize,
     /// Print the summary only.
     quiet: bool,
-    /// Keep serving until interrupted.
+    /// Keep serving until SIGTERM or SIGINT.
     stay: bool,
 }
 
@@ -47,7 +47,7 @@
     }
     let _logs = match telemetry::init_logs(telemetry::Level::Error, telemetry::Stream::Stderr) {
         Ok(logs) => logs,
-        Err(fault) => return cli::fail(NAME, fault, cli::EXIT_FAILED),
+        Err(error) => return cli::fail(NAME, error, cli::EXIT_FAILED),
     };
     let size = Size {
         routers: arguments.routers.max(1),
@@ -56,28 +56,28 @@
     };
     let fleet = match Fleet::start(size).await {
         Ok(fleet) => fleet,
-        Err(fault) => return cli::fail(NAME, fault, cli::EXIT_FAILED),
+        Err(error) => return cli::fail(NAME, error, cli::EXIT_FAILED),
     };
     let summary = local::run(&fleet, arguments.chats, arguments.turns, !arguments.quiet).await;
     println!("{summary}");
     if arguments.stay {
-        println!("serving; try:\n{}", example(&fleet.router_urls()[0]));
-        if let Err(fault) = process::Shutdown::wait_for_signal().await {
-            return cli::fail(NAME, fault, cli::EXIT_FAILED);
+        println!("serving; try:\n{}", example_request(&fleet.router_urls()[0]));
+        if let Err(error) = process::Shutdown::wait_for_signal().await {
+            return cli::fail(NAME, error, cli::EXIT_FAILED);
         }
     }
-    let cut = fleet.stop().await;
-    if cut > 0 {
+    let interrupted = fleet.stop().await;
+    if interrupted > 0 {
         return cli::fail(
             NAME,
-            format!("{cut} requests were cut by the stop"),
+            format!("{interrupted} requests were interrupted by the stop"),
             cli::EXIT_INTERRUPTED,
         );
     }
     ExitCode::from(if summary.is_clean() { cli::EXIT_OK } else { cli::EXIT_FAILED })
 }
 
-fn example(url: &str) -> String {
+fn example_request(url: &str) -> String {
     let body = r#"{"model":"menu-7b","stream":true,"max_tokens":8,"messages":[{"role":"user","content":"oi"}]}"#;
     format!(
         "curl -N -H 'Authorization: Bearer mesa:mesa-laptop-key' -d '{body}' {url}/v1/chat/completions"
--- a/src/bin/silverstack-router.rs
+++ b/src/bin/silverstack-router.rs
@@ -1,8 +1,7 @@
-//! The router on an entry host.
+//! The router.
 //!
-//! With `--settings FILE` it runs on its own settings and reaches upstreams
-//! through their sidecars. Where the environment names the settings file of a
-//! platform, it runs on that platform and reaches upstreams directly.
+//! With `--settings FILE` it connects to upstreams through their sidecars. If the
+//! environment names the settings file of a platform, it connects to upstreams directly.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -17,72 +16,76 @@
 /// The program's name.
 const NAME: &str = "silverstack-router";
 
-/// The environment variable with the path of a file that switches mechanisms off, on a
-/// platform.
-const MECHANISMS: &str = "SILVERSTACK_MECHANISMS";
+/// The environment variable with the path of a file that selects the enabled mechanisms,
+/// used on a platform.
+const MECHANISMS_VARIABLE: &str = "SILVERSTACK_MECHANISMS";
 
 #[ntex::main]
 async fn main() -> ExitCode {
     match std::env::var_os(platform::SETTINGS_VARIABLE) {
-        Some(path) => on_platform(Path::new(&path)).await,
-        None => on_own_settings().await,
+        Some(path) => run_on_platform(Path::new(&path)).await,
+        None => run_with_sidecars().await,
     }
 }
 
-async fn on_own_settings() -> ExitCode {
+async fn run_with_sidecars() -> ExitCode {
     let ((settings, path), _logs) = match cli::start::<settings::Router>(NAME) {
-        Ok(begun) => begun,
+        Ok(started) => started,
         Err(code) => return code,
     };
     match Router::start(settings) {
         Ok(router) => {
-            let read = move || settings::load(&path).map_err(|fault| fault.to_string());
-            cli::reload_on_signal(router.reload(), read);
+            let reload = move || settings::load(&path).map_err(|error| error.to_string());
+            cli::reload_on_signal(router.reload(), reload);
             process::announce(&[("listen", router.address().to_string())]);
             serve(router).await
         }
-        Err(fault) => cli::fail(NAME, fault, cli::EXIT_USAGE),
+        Err(error) => cli::fail(NAME, error, cli::EXIT_USAGE),
     }
 }
 
-async fn on_platform(path: &Path) -> ExitCode {
-    let read_first = |named: Option<&Path>| read(named.unwrap_or(path));
-    let (settings, _logs) = match cli::start_with(NAME, Stream::Stdout, read_first) {
+async fn run_on_platform(path: &Path) -> ExitCode {
+    let load_initial = |path_argument: Option<&Path>| load_settings(path_argument.unwrap_or(path));
+    let (settings, _logs) = match cli::start_with(NAME, Stream::Stdout, load_initial) {
         Ok(settings) => settings,
         Err(code) => return code,
     };
     let Some(direct) = settings.router.direct.clone() else {
-        return cli::fail(NAME, "the settings name no way to upstreams", cli::EXIT_USAGE);
+        return cli::fail(
+            NAME,
+            "the settings configure no direct connection to upstreams",
+            cli::EXIT_USAGE,
+        );
     };
-    let own = settings.router.clone();
-    let mechanisms = serde_json::to_string(&own.routing.mechanisms).unwrap_or_default();
+    let router_settings = settings.router.clone();
+    let mechanisms = serde_json::to_string(&router_settings.routing.mechanisms).unwrap_or_default();
     info!("router starts", kv: {
-        name = &*own.name,
-        domain = &*own.domain,
-        listen = &*own.listen,
+        name = &*router_settings.name,
+        domain = &*router_settings.domain,
+        listen = &*router_settings.listen,
         mechanisms,
     });
     let connect: edge::Connect = Arc::new(move || {
         let settings = settings.clone();
         async move { settings.connect().await }.boxed_local()
     });
-    match Router::start_direct(own, &direct.admin, connect) {
+    match Router::start_direct(router_settings, &direct.admin, connect) {
         Ok(router) => {
             let path = path.to_owned();
-            let read = move || read(&path).map(|it| it.router);
-            cli::reload_on_signal(router.reload(), read);
+            let reload = move || load_settings(&path).map(|settings| settings.router);
+            cli::reload_on_signal(router.reload(), reload);
             serve(router).await
         }
-        Err(fault) => cli::fail(NAME, fault, cli::EXIT_USAGE),
+        Err(error) => cli::fail(NAME, error, cli::EXIT_USAGE),
     }
 }
 
-/// Reads the platform's settings file, and which mechanisms are in use where a file of
-/// our own says so.
-fn read(path: &Path) -> Result<platform::Settings, String> {
-    let mut settings = platform::read(path).map_err(|fault| fault.to_string())?;
-    if let Some(file) = std::env::var_os(MECHANISMS) {
-        let mechanisms = settings::load(Path::new(&file)).map_err(|fault| fault.to_string())?;
+/// Loads the platform's settings file, and the mechanisms from their own file if there is
+/// one.
+fn load_settings(path: &Path) -> Result<platform::Settings, String> {
+    let mut settings = platform::read(path).map_err(|error| error.to_string())?;
+    if let Some(file) = std::env::var_os(MECHANISMS_VARIABLE) {
+        let mechanisms = settings::load(Path::new(&file)).map_err(|error| error.to_string())?;
         settings.router.routing.mechanisms = mechanisms;
     }
     Ok(settings)
@@ -90,7 +93,7 @@
 
 async fn serve(router: Router) -> ExitCode {
     cli::stop_on_signal(router.stop());
-    let whole = router.run().await;
-    info!("router stopped", kv: { whole });
-    ExitCode::from(if whole { cli::EXIT_OK } else { cli::EXIT_INTERRUPTED })
+    let is_complete = router.run().await;
+    info!("router stopped", kv: { whole = is_complete });
+    ExitCode::from(if is_complete { cli::EXIT_OK } else { cli::EXIT_INTERRUPTED })
 }
--- a/src/bin/silverstack-sidecar.rs
+++ b/src/bin/silverstack-sidecar.rs
@@ -1,4 +1,4 @@
-//! The sidecar in the slot on an upstream's host.
+//! The sidecar, which runs on an upstream's host.
 
 use std::process::ExitCode;
 
@@ -17,17 +17,17 @@
     };
     let sidecar = match Sidecar::bind(settings) {
         Ok(sidecar) => sidecar,
-        Err(fault) => return cli::fail(NAME, fault, cli::EXIT_USAGE),
+        Err(error) => return cli::fail(NAME, error, cli::EXIT_USAGE),
     };
     let (listen, admin) = (sidecar.address().to_string(), sidecar.admin_address().to_string());
     process::announce(&[("listen", listen), ("admin", admin)]);
     cli::stop_on_signal(sidecar.stop());
-    // A sidecar takes new settings at its next start; a fault is told at once.
+    // Reloaded settings are only checked; they apply at the next start.
     let (reload, _) = watch::channel(sidecar.settings().clone());
-    cli::reload_on_signal(reload, move || settings::load(&path).map_err(|it| it.to_string()));
+    cli::reload_on_signal(reload, move || settings::load(&path).map_err(|error| error.to_string()));
     match sidecar.run().await {
         Ok(0) => ExitCode::from(cli::EXIT_OK),
         Ok(_) => ExitCode::from(cli::EXIT_INTERRUPTED),
-        Err(fault) => cli::fail(NAME, fault, cli::EXIT_FAILED),
+        Err(error) => cli::fail(NAME, error, cli::EXIT_FAILED),
     }
 }
--- a/src/bin/silverstack-standin.rs
+++ b/src/bin/silverstack-standin.rs
@@ -1,4 +1,4 @@
-//! One stand-in as a process of its own, for tests and measurements.
+//! Runs a stand-in as a process, for tests and measurements.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -10,18 +10,17 @@
 /// The program's name.
 const NAME: &str = "silverstack-standin";
 
-/// Stands in for an engine, a plain service, the host list or the key-value
-/// service.
+/// Runs a stand-in for an engine, a plain service, the host list or the key-value store.
 #[derive(Debug, Options)]
 struct Arguments {
     /// Print this help.
     help: bool,
     /// Print name and version.
     version: bool,
-    /// What to stand in for: engine, plain, hosts or store.
+    /// The kind of stand-in: engine, plain, hosts or store.
     #[options(free, required)]
     part: String,
-    /// Where to listen.
+    /// The address to listen on.
     #[options(meta = "ADDRESS", default = "127.0.0.1:0")]
     listen: String,
     /// The name of a plain service.
@@ -30,13 +29,13 @@
     /// The model of an engine.
     #[options(meta = "MODEL", default = "menu-7b")]
     model: String,
-    /// The time of an engine's step or a plain service's call, in milliseconds.
+    /// The duration of an engine's step or a plain service's call, in milliseconds.
     #[options(meta = "MS", default = "4")]
     step: u64,
-    /// The requests in an engine's batch.
+    /// Maximum number of requests in an engine's batch.
     #[options(meta = "N", default = "64")]
     batch: usize,
-    /// By how much the list of hosts lags, in milliseconds.
+    /// The delay of changes in the host list, in milliseconds.
     #[options(meta = "MS", default = "200")]
     lag: u64,
 }
@@ -49,7 +48,7 @@
     }
     let listen = arguments.listen.as_str();
     let step = Duration::from_millis(arguments.step);
-    let served = match arguments.part.as_str() {
+    let started = match arguments.part.as_str() {
         "engine" => {
             let settings = EngineSettings {
                 model: arguments.model.clone(),
@@ -57,24 +56,30 @@
                 batch: arguments.batch,
                 ..EngineSettings::default()
             };
-            Engine::start(listen, settings).map(|it| serve(it.server()))
+            Engine::start(listen, settings).map(|standin| announce(standin.server()))
         }
-        "plain" => PlainService::start(listen, &arguments.name, step).map(|it| serve(it.server())),
-        "hosts" => {
-            Hosts::start(listen, Duration::from_millis(arguments.lag)).map(|it| serve(it.server()))
+        "plain" => PlainService::start(listen, &arguments.name, step)
+            .map(|standin| announce(standin.server())),
+        "hosts" => Hosts::start(listen, Duration::from_millis(arguments.lag))
+            .map(|standin| announce(standin.server())),
+        "store" => Store::start(listen).map(|standin| announce(standin.server())),
+        other => {
+            return cli::fail(
+                NAME,
+                format!("unknown stand-in {other}, expected engine, plain, hosts or store"),
+                cli::EXIT_USAGE,
+            );
         }
-        "store" => Store::start(listen).map(|it| serve(it.server())),
-        other => return cli::fail(NAME, format!("{other} is not a stand-in"), cli::EXIT_USAGE),
     };
-    if let Err(fault) = served {
-        return cli::fail(NAME, fault, cli::EXIT_USAGE);
+    if let Err(error) = started {
+        return cli::fail(NAME, error, cli::EXIT_USAGE);
     }
-    if let Err(fault) = process::Shutdown::wait_for_signal().await {
-        return cli::fail(NAME, fault, cli::EXIT_FAILED);
+    if let Err(error) = process::Shutdown::wait_for_signal().await {
+        return cli::fail(NAME, error, cli::EXIT_FAILED);
     }
     ExitCode::from(cli::EXIT_OK)
 }
 
-fn serve(server: &Server) {
+fn announce(server: &Server) {
     process::announce(&[("listen", server.address().to_string())]);
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! Command lines and exit codes.
+//! Command line, exit codes and signals of the binaries.
 
 use std::fmt::Display;
 use std::path::{Path, PathBuf};
@@ -12,41 +12,41 @@
 use telemetry::{Level, LogGuard, Stream};
 use tokio::sync::watch;
 
-/// Everything went well.
+/// Success.
 pub const EXIT_OK: u8 = 0;
 
-/// Something failed while running.
+/// A failure at runtime.
 pub const EXIT_FAILED: u8 = 1;
 
-/// The command line or the settings are wrong.
+/// An invalid command line or invalid settings.
 pub const EXIT_USAGE: u8 = 2;
 
-/// A planned stop cut requests that were still in flight.
+/// A planned stop interrupted requests in flight.
 pub const EXIT_INTERRUPTED: u8 = 3;
 
-/// A process of the fleet; it serves until SIGTERM or SIGINT asks it to stop.
+/// Runs a process of the fleet until SIGTERM or SIGINT.
 #[derive(Debug, Options)]
 struct Arguments {
     /// Print this help.
     help: bool,
-    /// Print name and version.
+    /// Print the name and version.
     version: bool,
     /// The settings file.
     #[options(meta = "FILE")]
     settings: Option<PathBuf>,
-    /// Check the settings and stop.
+    /// Check the settings and exit.
     check: bool,
-    /// What to log: error, warn, info or debug.
+    /// The log level: error, warn, info or debug.
     #[options(meta = "LEVEL", default = "info")]
     log: String,
 }
 
-/// Reads the command line and the settings of a process of the fleet, and
-/// starts its log. Returns the settings and where they were read.
+/// Parses the command line, loads the settings and sets up the log. Returns the settings
+/// and their path.
 ///
 /// # Errors
 ///
-/// The exit code, where the process has nothing more to do.
+/// The exit code, if the process is to exit at once.
 pub fn start<T: Check + DeserializeOwned>(
     program: &str,
 ) -> Result<((T, PathBuf), LogGuard), ExitCode> {
@@ -54,17 +54,17 @@
         let Some(path) = path else {
             return Err("--settings FILE is needed".to_owned());
         };
-        let settings = settings::load(path).map_err(|fault| fault.to_string())?;
+        let settings = settings::load(path).map_err(|error| error.to_string())?;
         Ok((settings, path.to_owned()))
     })
 }
 
-/// The same, with another way to read the settings; `read` gets the path that
-/// the command line names, if it names one.
+/// Like [`start`], with settings loaded by `read`, which gets the path of `--settings` if
+/// it was given.
 ///
 /// # Errors
 ///
-/// The exit code, where the process has nothing more to do.
+/// The exit code, if the process is to exit at once.
 pub fn start_with<T>(
     program: &str,
     stream: Stream,
@@ -75,18 +75,18 @@
         return Err(version(program));
     }
     let settings =
-        read(arguments.settings.as_deref()).map_err(|fault| fail(program, fault, EXIT_USAGE))?;
-    let level = level(&arguments.log).map_err(|fault| fail(program, fault, EXIT_USAGE))?;
+        read(arguments.settings.as_deref()).map_err(|error| fail(program, error, EXIT_USAGE))?;
+    let level = parse_level(&arguments.log).map_err(|error| fail(program, error, EXIT_USAGE))?;
     if arguments.check {
         return Err(ExitCode::from(EXIT_OK));
     }
     let logs =
-        telemetry::init_logs(level, stream).map_err(|fault| fail(program, fault, EXIT_FAILED))?;
+        telemetry::init_logs(level, stream).map_err(|error| fail(program, error, EXIT_FAILED))?;
     Ok((settings, logs))
 }
 
-/// Reads the settings again at each SIGHUP and hands them to `reload`; settings
-/// with a fault are logged and change nothing.
+/// Reloads the settings at each SIGHUP and sends them to `reload`. Invalid settings are
+/// logged and have no effect.
 pub fn reload_on_signal<T: Send + Sync + 'static>(
     reload: watch::Sender<T>,
     read: impl Fn() -> Result<T, String> + 'static,
@@ -94,22 +94,24 @@
     ntex::rt::spawn(async move {
         let mut signals = match Hangup::listen() {
             Ok(signals) => signals,
-            Err(fault) => return error!("SIGHUP can't be heard", kv: { fault = fault.to_string() }),
+            Err(error) => {
+                return error!("can't listen for SIGHUP", kv: { fault = error.to_string() });
+            }
         };
         while signals.next().await.is_some() {
             match read() {
                 Ok(settings) => {
-                    info!("settings read again");
+                    info!("settings reloaded");
                     let _ = reload.send(settings);
                 }
-                Err(fault) => error!("settings refused", kv: { fault }),
+                Err(error) => error!("settings refused", kv: { fault = error }),
             }
         }
     })
     .detach();
 }
 
-/// Asks for a planned stop at the first SIGTERM or SIGINT.
+/// Requests a planned stop at the first SIGTERM or SIGINT.
 pub fn stop_on_signal(shutdown: Shutdown) {
     ntex::rt::spawn(async move {
         if Shutdown::wait_for_signal().await.is_ok() {
@@ -119,29 +121,29 @@
     .detach();
 }
 
-/// Prints the fault on standard error and returns the exit code for it.
-pub fn fail(program: &str, fault: impl Display, code: u8) -> ExitCode {
-    eprintln!("{program}: {fault}");
+/// Prints an error to standard error and returns the exit code.
+pub fn fail(program: &str, error: impl Display, code: u8) -> ExitCode {
+    eprintln!("{program}: {error}");
     ExitCode::from(code)
 }
 
-/// Prints name and version.
+/// Prints the program's name and version.
 pub fn version(program: &str) -> ExitCode {
     println!("{program} {}", env!("CARGO_PKG_VERSION"));
     ExitCode::from(EXIT_OK)
 }
 
-/// Reads a log level: `error`, `warn`, `info` or `debug`.
+/// Parses a log level: `error`, `warn`, `info` or `debug`.
 ///
 /// # Errors
 ///
-/// Another word.
-fn level(word: &str) -> Result<Level, String> {
+/// The word is not a level.
+fn parse_level(word: &str) -> Result<Level, String> {
     match word {
         "error" => Ok(Level::Error),
         "warn" => Ok(Level::Warn),
         "info" => Ok(Level::Info),
         "debug" => Ok(Level::Debug),
-        _ => Err(format!("{word} is not allowed: error, warn, info or debug")),
+        _ => Err(format!("invalid log level {word}, expected error, warn, info or debug")),
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the binaries of silverstack share.
+//! Code shared by the binaries.
 
 pub mod cli;
 pub mod local;
--- a/src/local.rs
+++ b/src/local.rs
@@ -1,4 +1,4 @@
-//! The whole path in one process, on stand-ins and loopback ports.
+//! A complete fleet in one process, with stand-ins for upstreams, on loopback ports.
 
 mod fleet;
 mod traffic;
--- a/src/local/fleet.rs
+++ b/src/local/fleet.rs
@@ -1,4 +1,4 @@
-//! Routers, sidecars and stand-ins, started and stopped together.
+//! Start and stop of routers, sidecars and stand-ins.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -17,31 +17,31 @@
 /// Any free port of this host.
 const ANY_PORT: &str = "127.0.0.1:0";
 
-/// The link key of the one process.
+/// The link key of the fleet.
 const LINK_KEY: &str = "a-link-key-for-one-process";
 
-/// The intents, which the examples show.
+/// The intents of the examples.
 const INTENTS: &str = include_str!("../../examples/intents.json");
 
-/// The model that the intents name.
+/// The model of the engines, as in the intents.
 pub(crate) const MODEL: &str = "menu-7b";
 
-/// The failure domains that the upstreams are spread over.
+/// The failure domains of the upstreams, assigned in turn.
 const DOMAINS: [&str; 3] = ["poa-1", "poa-2", "caxias-1"];
 
-/// By how much the list of hosts lags.
+/// The delay of changes in the host list.
 const HOSTS_LAG: Duration = Duration::from_millis(100);
 
-/// How long a call of a plain service takes.
+/// The latency of a call to a plain service.
 const PLAIN_LATENCY: Duration = Duration::from_millis(2);
 
-/// How long the routers may take to meet an upstream.
+/// Time limit for the routers to connect to all upstreams.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How many of each there are.
+/// The number of processes of each kind.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Entry hosts.
+    /// Routers.
     pub routers: usize,
     /// Model engines.
     pub engines: usize,
@@ -49,33 +49,33 @@
     pub services: usize,
 }
 
-/// Why the fleet can't start.
+/// An error at the start of the fleet.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// A stand-in can't start.
     #[snafu(display("a stand-in can't start: {source}"))]
     Standin {
-        /// What the system says.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The intents can't be written for the routers to read.
+    /// The intents file can't be written.
     #[snafu(display("can't write {}: {source}", path.display()))]
     Intents {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What the system says.
+        /// The operating system's error.
         source: std::io::Error,
     },
     /// A router can't start.
     #[snafu(display("a router can't start: {source}"))]
     Router {
-        /// Why.
+        /// The error.
         source: router::Error,
     },
     /// A sidecar can't start.
     #[snafu(display("a sidecar can't start: {source}"))]
     Sidecar {
-        /// Why.
+        /// The error.
         source: sidecar::Error,
     },
     /// The routers did not become ready.
@@ -83,7 +83,7 @@
     NotReady,
 }
 
-/// A fleet that runs.
+/// A running fleet.
 #[derive(Debug)]
 pub struct Fleet {
     hosts: Hosts,
@@ -99,11 +99,11 @@
 }
 
 impl Fleet {
-    /// Starts a fleet and waits until its routers are ready.
+    /// Starts a fleet and waits until all routers are connected to all upstreams.
     ///
     /// # Errors
     ///
-    /// A part can't start.
+    /// A process can't start, or the routers did not connect in time.
     pub async fn start(size: Size) -> Result<Self, Error> {
         let intents = write_intents()?;
         let mut fleet = Self {
@@ -118,14 +118,14 @@
             sidecar_stops: Vec::new(),
             intents,
         };
-        for place in 0..size.engines {
-            fleet.add_engine(place)?;
+        for index in 0..size.engines {
+            fleet.add_engine(index)?;
         }
-        for place in 0..size.services {
-            fleet.add_service(place)?;
+        for index in 0..size.services {
+            fleet.add_service(index)?;
         }
-        for place in 0..size.routers {
-            fleet.add_router(place)?;
+        for index in 0..size.routers {
+            fleet.add_router(index)?;
         }
         fleet.wait_until_ready(size).await?;
         Ok(fleet)
@@ -136,7 +136,7 @@
         &self.router_urls
     }
 
-    /// How often each idempotency key ran, over all services.
+    /// The number of runs of each idempotency key, over all services.
     pub fn runs(&self) -> BTreeMap<String, u64> {
         let mut runs = BTreeMap::new();
         for service in &self.services {
@@ -147,17 +147,17 @@
         runs
     }
 
-    /// Stops everything in order, entry hosts first; returns how many requests
-    /// were cut.
+    /// Stops routers, then sidecars, then stand-ins. Returns the number of interrupted
+    /// requests; an interrupted router counts as one.
     pub async fn stop(mut self) -> usize {
-        let mut cut = 0;
+        let mut interrupted = 0;
         self.router_stops.iter().for_each(process::Shutdown::request);
-        while let Some(finished) = self.routers.join_next().await {
-            cut += usize::from(!finished.unwrap_or(false));
+        while let Some(is_complete) = self.routers.join_next().await {
+            interrupted += usize::from(!is_complete.unwrap_or(false));
         }
         self.sidecar_stops.iter().for_each(process::Shutdown::request);
-        while let Some(left) = self.sidecars.join_next().await {
-            cut += left.unwrap_or(1);
+        while let Some(in_flight) = self.sidecars.join_next().await {
+            interrupted += in_flight.unwrap_or(1);
         }
         for engine in &self.engines {
             engine.server().stop().await;
@@ -168,24 +168,24 @@
         self.hosts.server().stop().await;
         self.store.server().stop().await;
         let _ = std::fs::remove_file(&self.intents);
-        cut
+        interrupted
     }
 
-    fn add_engine(&mut self, place: usize) -> Result<(), Error> {
+    fn add_engine(&mut self, index: usize) -> Result<(), Error> {
         let settings = EngineSettings { model: MODEL.to_owned(), ..EngineSettings::default() };
         let engine = Engine::start(ANY_PORT, settings).context(StandinSnafu)?;
         let pool = BTreeMap::from([("model".into(), MODEL.into())]);
-        let name = format!("engine-{}", place + 1);
-        self.add_sidecar(&name, place, &engine.server().url(), Service::Engine, &pool)?;
+        let name = format!("engine-{}", index + 1);
+        self.add_sidecar(&name, index, &engine.server().url(), Service::Engine, &pool)?;
         self.engines.push(engine);
         Ok(())
     }
 
-    fn add_service(&mut self, place: usize) -> Result<(), Error> {
-        let name = format!("pickup-{}", place + 1);
+    fn add_service(&mut self, index: usize) -> Result<(), Error> {
+        let name = format!("pickup-{}", index + 1);
         let plain = PlainService::start(ANY_PORT, &name, PLAIN_LATENCY).context(StandinSnafu)?;
         let pool = BTreeMap::from([("service".into(), "pickup".into())]);
-        self.add_sidecar(&name, place, &plain.server().url(), Service::Plain, &pool)?;
+        self.add_sidecar(&name, index, &plain.server().url(), Service::Plain, &pool)?;
         self.services.push(plain);
         Ok(())
     }
@@ -193,7 +193,7 @@
     fn add_sidecar(
         &mut self,
         name: &str,
-        place: usize,
+        index: usize,
         upstream_url: &str,
         service: Service,
         pool: &BTreeMap<Arc<str>, Arc<str>>,
@@ -216,7 +216,7 @@
         self.hosts.put(json!({
             "name": name,
             "address": sidecar.address().to_string(),
-            "domain": DOMAINS[place % DOMAINS.len()],
+            "domain": DOMAINS[index % DOMAINS.len()],
             "labels": pool,
         }));
         self.sidecar_stops.push(sidecar.stop());
@@ -224,9 +224,9 @@
         Ok(())
     }
 
-    fn add_router(&mut self, place: usize) -> Result<(), Error> {
+    fn add_router(&mut self, index: usize) -> Result<(), Error> {
         let settings = json!({
-            "name": format!("entry-{}", place + 1),
+            "name": format!("entry-{}", index + 1),
             "listen": ANY_PORT,
             "link_key": LINK_KEY,
             "hosts_url": self.hosts.server().url(),
@@ -236,7 +236,7 @@
             "drain_notice_ms": 0,
             "drain_ms": 5_000,
         });
-        let settings = settings::parse(&settings.to_string()).expect("the settings are right");
+        let settings = settings::parse(&settings.to_string()).expect("the settings are valid");
         let router = Router::start(settings).context(RouterSnafu)?;
         self.router_urls.push(format!("http://{}", router.address()));
         self.router_stops.push(router.stop());
@@ -245,10 +245,10 @@
     }
 
     async fn wait_until_ready(&self, size: Size) -> Result<(), Error> {
-        let met = size.engines + size.services;
+        let upstream_count = size.engines + size.services;
         let ready = async {
             for url in &self.router_urls {
-                while !has_met(url, met).await {
+                while !has_upstreams(url, upstream_count).await {
                     tokio::time::sleep(Duration::from_millis(20)).await;
                 }
             }
@@ -257,8 +257,8 @@
     }
 }
 
-/// Whether the router at `url` has met at least `most` upstreams.
-async fn has_met(url: &str, most: usize) -> bool {
+/// Whether the router at `url` is connected to at least `min_count` upstreams.
+async fn has_upstreams(url: &str, min_count: usize) -> bool {
     let Ok(caller) = load::Caller::new(url, "", "").await else {
         return false;
     };
@@ -266,7 +266,9 @@
         return false;
     };
     let upstreams = status["upstreams"].as_array();
-    upstreams.is_some_and(|it| it.iter().filter(|it| it["up"] == true).count() >= most)
+    upstreams.is_some_and(|all| {
+        all.iter().filter(|upstream| upstream["up"] == true).count() >= min_count
+    })
 }
 
 fn write_intents() -> Result<PathBuf, Error> {
--- a/src/local/traffic.rs
+++ b/src/local/traffic.rs
@@ -1,4 +1,4 @@
-//! A mixed set of returning chats and service calls.
+//! Chats of several turns and service calls, with checks of their answers.
 
 use std::fmt;
 
@@ -9,41 +9,41 @@
 
 use super::fleet::{Fleet, MODEL};
 
-/// The workspace of the chats and its key, as in the examples.
-const MESA: (&str, &str) = ("mesa", "mesa-laptop-key");
+/// The workspace of the chats and its key, from the examples.
+const CHAT_WORKSPACE: (&str, &str) = ("mesa", "mesa-laptop-key");
 
-/// The workspace of the calls and its key, as in the examples.
-const COURIER: (&str, &str) = ("courier", "courier-laptop-key");
+/// The workspace of the calls and its key, from the examples.
+const CALL_WORKSPACE: (&str, &str) = ("courier", "courier-laptop-key");
 
-/// The words of a chat's first message.
-const FIRST_WORDS: usize = 120;
+/// The number of words of a chat's first message.
+const PROMPT_WORDS: usize = 120;
 
-/// The tokens of each answer.
+/// The number of tokens of each answer.
 const ANSWER_TOKENS: u64 = 24;
 
-/// What came of the traffic.
+/// The results of the traffic.
 #[derive(Clone, Debug, Default)]
 pub struct Summary {
-    /// Whole and right answers to chats.
+    /// Correct answers to turns of chats.
     pub chats: usize,
-    /// Whole and right answers to calls.
+    /// Correct answers to calls.
     pub calls: usize,
-    /// Requests without a whole answer.
+    /// Requests without a complete answer.
     pub failed: usize,
-    /// Answers that are not the one to the request.
+    /// Answers that don't match their request.
     pub mismatched: usize,
-    /// Keys that ran more than once.
+    /// Idempotency keys that ran more than once.
     pub run_twice: usize,
-    /// Prompt tokens of returning turns.
+    /// Prompt tokens of all turns after the first.
     pub prompt_tokens: u64,
-    /// Those of them that were found in a cache.
+    /// Those prompt tokens that were cached.
     pub cached_tokens: u64,
-    /// The time to the first token of each chat turn, in milliseconds.
+    /// Time to first token of each turn, in milliseconds.
     pub first_ms: Vec<u64>,
 }
 
 impl Summary {
-    /// Whether every request got its own whole answer, once.
+    /// Whether every request got a correct answer and no key ran twice.
     pub fn is_clean(&self) -> bool {
         self.failed == 0 && self.mismatched == 0 && self.run_twice == 0
     }
@@ -59,7 +59,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             formatter,
-            "{} chat turns and {} calls answered whole; {} lost or cut, {} crossed, {} run twice",
+            "{} chat turns and {} calls answered correctly; {} failed, {} mismatched, {} run twice",
             self.chats, self.calls, self.failed, self.mismatched, self.run_twice
         )?;
         let reuse = 100 * self.cached_tokens / self.prompt_tokens.max(1);
@@ -71,29 +71,29 @@
     }
 }
 
-/// What one chat's task found.
-type Turns = Vec<Result<(Answer, bool), Error>>;
+/// The answers to a chat's turns, and whether each is correct.
+type TurnResults = Vec<Result<(Answer, bool), Error>>;
 
-/// Sends `chats` chats of `turns` turns each and as many calls as there are
-/// turns, over all routers, and checks every answer.
+/// Sends `chats` chats of `turns` turns each, and one call for each turn, through all
+/// routers, and checks every answer.
 pub async fn run(fleet: &Fleet, chats: usize, turns: usize, print: bool) -> Summary {
     let mut summary = Summary::default();
-    let mut talks = JoinSet::new();
-    for place in 0..chats {
-        talks.spawn_local(talk(fleet.router_urls().to_vec(), place, turns));
+    let mut chat_tasks = JoinSet::new();
+    for index in 0..chats {
+        chat_tasks.spawn_local(run_chat(fleet.router_urls().to_vec(), index, turns));
     }
-    let mut calls = JoinSet::new();
-    for place in 0..chats * turns {
-        let url = fleet.router_urls()[place % fleet.router_urls().len()].clone();
-        calls.spawn_local(confirm(url, place));
+    let mut call_tasks = JoinSet::new();
+    for index in 0..chats * turns {
+        let url = fleet.router_urls()[index % fleet.router_urls().len()].clone();
+        call_tasks.spawn_local(confirm(url, index));
     }
-    while let Some(turns) = talks.join_next().await {
+    while let Some(turns) = chat_tasks.join_next().await {
         for (turn, result) in turns.unwrap_or_default().into_iter().enumerate() {
             summary.add_turn(turn, result, print);
         }
     }
-    while let Some(result) = calls.join_next().await {
-        summary.add_call(result.unwrap_or_else(|fault| Err(fault.to_string())), print);
+    while let Some(result) = call_tasks.join_next().await {
+        summary.add_call(result.unwrap_or_else(|error| Err(error.to_string())), print);
     }
     summary.run_twice = fleet.runs().values().filter(|count| **count > 1).count();
     summary
@@ -123,11 +123,15 @@
             }
             Ok((answer, false)) => {
                 self.mismatched += 1;
-                println!("{} turn {}: the answer is another's", answer.request, turn + 1);
+                println!(
+                    "{} turn {}: the answer belongs to another request",
+                    answer.request,
+                    turn + 1
+                );
             }
-            Err(fault) => {
+            Err(error) => {
                 self.failed += 1;
-                println!("turn {}: {fault}", turn + 1);
+                println!("turn {}: {error}", turn + 1);
             }
         }
     }
@@ -140,68 +144,72 @@
                     println!("{line}");
                 }
             }
-            Err(fault) => {
+            Err(error) => {
                 self.failed += 1;
-                println!("call: {fault}");
+                println!("call: {error}");
             }
         }
     }
 }
 
-/// One chat, each turn through the next router, until a turn fails.
-async fn talk(routers: Vec<String>, place: usize, turns: usize) -> Turns {
-    let mut found = Vec::new();
-    let mut messages = vec![first_message(place)];
+/// Sends the turns of a chat, each through the next router, until one fails.
+async fn run_chat(routers: Vec<String>, index: usize, turns: usize) -> TurnResults {
+    let mut results = Vec::new();
+    let mut messages = vec![first_message(index)];
     for turn in 0..turns {
-        let url = &routers[(place + turn) % routers.len()];
+        let url = &routers[(index + turn) % routers.len()];
         let chat = Chat {
             model: MODEL.to_owned(),
-            chat: format!("chat-{place}"),
+            chat: format!("chat-{index}"),
             messages: messages.clone(),
             max_tokens: ANSWER_TOKENS,
-            stream: !(place + turn).is_multiple_of(3),
+            stream: !(index + turn).is_multiple_of(3),
         };
-        let answer = match Caller::new(url, MESA.0, MESA.1).await {
+        let answer = match Caller::new(url, CHAT_WORKSPACE.0, CHAT_WORKSPACE.1).await {
             Ok(caller) => retry(|| caller.chat(&chat)).await,
-            Err(fault) => Err(fault),
+            Err(error) => Err(error),
         };
         let answer = match answer {
             Ok(answer) => answer,
-            Err(fault) => {
-                found.push(Err(fault));
-                return found;
+            Err(error) => {
+                results.push(Err(error));
+                return results;
             }
         };
         let seed = Prompt::new(MODEL, &messages).seed;
-        let right = answer.text == standin::answer(seed, ANSWER_TOKENS);
+        let is_correct = answer.text == standin::answer(seed, ANSWER_TOKENS);
         messages.push(json!({ "role": "assistant", "content": answer.text }));
         messages.push(json!({ "role": "user", "content": format!("e no dia {turn} ?") }));
-        found.push(Ok((answer, right)));
+        results.push(Ok((answer, is_correct)));
     }
-    found
+    results
 }
 
-fn first_message(place: usize) -> Value {
-    let words: Vec<_> = (0..FIRST_WORDS).map(|it| format!("receita{}", place * 7 + it)).collect();
+fn first_message(index: usize) -> Value {
+    let words: Vec<_> =
+        (0..PROMPT_WORDS).map(|word| format!("receita{}", index * 7 + word)).collect();
     json!({ "role": "user", "content": words.join(" ") })
 }
 
-/// One pickup: confirmed, and confirmed again under the same key.
-async fn confirm(url: String, place: usize) -> Result<String, String> {
-    let caller = Caller::new(&url, COURIER.0, COURIER.1).await.map_err(|it| it.to_string())?;
-    let key = match place % 2 {
-        0 => caller.key("pickup").await.map_err(|it| it.to_string())?,
-        _ => format!("courier-{place}"),
+/// Sends a call and repeats it with the same idempotency key; both must get the same
+/// answer.
+async fn confirm(url: String, index: usize) -> Result<String, String> {
+    let caller = Caller::new(&url, CALL_WORKSPACE.0, CALL_WORKSPACE.1)
+        .await
+        .map_err(|error| error.to_string())?;
+    let key = match index % 2 {
+        0 => caller.key("pickup").await.map_err(|error| error.to_string())?,
+        _ => format!("courier-{index}"),
     };
-    let path = format!("/orders/{place}/confirm");
+    let path = format!("/orders/{index}/confirm");
     let call = || caller.call("pickup", &path, Some(&key), "{}");
-    let first = retry(call).await.map_err(|it| it.to_string())?;
-    let again = retry(call).await.map_err(|it| it.to_string())?;
-    if first.body != again.body || !first.body.contains(&path) {
-        return Err(format!("{}: the repeat got another answer", first.request));
+    let first = retry(call).await.map_err(|error| error.to_string())?;
+    let repeated = retry(call).await.map_err(|error| error.to_string())?;
+    if first.body != repeated.body || !first.body.contains(&path) {
+        return Err(format!("{}: the repeated request got a different answer", first.request));
     }
     Ok(format!(
-        "{} pickup {place} at {}: once, repeat answered alike",
+        "{} pickup {index} at {}: ran once, same answer when repeated",
         first.request, first.upstream
     ))
 }
--- a/tests/end_to_end/commands.rs
+++ b/tests/end_to_end/commands.rs
@@ -57,7 +57,7 @@
     let output = run(LOCAL, &["--quiet", "--chats", "6", "--turns", "3"]);
     let text = String::from_utf8_lossy(&output.stdout);
     assert_eq!(output.status.code(), Some(0), "{text}");
-    assert!(text.contains("18 chat turns and 18 calls answered whole; 0 lost"), "{text}");
+    assert!(text.contains("18 chat turns and 18 calls answered correctly; 0 failed"), "{text}");
 }
 
 #[test]
