--- a/components/intents/src/document.rs
+++ b/components/intents/src/document.rs
@@ -26,7 +26,7 @@
     pub models: Vec<Arc<str>>,
     /// Labels that operators add to upstreams.
     #[serde(default)]
-    pub upstreams: Vec<Upstream>,
+    pub upstreams: Vec<UpstreamLabels>,
     /// Properties of pools of upstreams.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub pools: Vec<Pool>,
@@ -54,7 +54,7 @@
 pub struct Workspace {
     /// The name.
     pub name: Arc<str>,
-    /// The SHA-256 of the workspace key, in hexadecimal; a list while keys are
+    /// The SHA-256 of the workspace key, in hexadecimal; several while the key is
     /// being replaced. The first workspace without a key is used for anonymous callers.
     #[serde(with = "crate::keys")]
     pub key_sha256: Vec<Arc<str>>,
@@ -88,10 +88,10 @@
     /// Whether another upstream may continue an interrupted stream.
     #[serde(default)]
     pub resumable: bool,
-    /// Whether callers need no key.
+    /// Whether callers need no workspace key.
     #[serde(default)]
     pub anonymous: bool,
-    /// The paths of these requests, beside the fleet's own.
+    /// The hosts and paths of these requests, in addition to the fleet's own paths.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub paths: Vec<Location>,
     /// The labels.
@@ -103,19 +103,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Location {
-    /// The host, in lower case and without a port.
+    /// The host name in the URL, in lower case and without a port.
     pub host: Arc<str>,
-    /// The prefix, which begins and ends with a slash.
+    /// The prefix. Paths are compared as text, so it should begin and end with a slash.
     pub prefix: Arc<str>,
 }
 
-/// Labels of one upstream.
+/// Labels that operators add to an upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Upstream {
+pub struct UpstreamLabels {
     /// The upstream's name.
     pub name: Arc<str>,
-    /// Labels that are added to those that its host reports.
+    /// The labels, in addition to those that the platform reports for the upstream.
     pub labels: Labels,
 }
 
@@ -142,7 +142,7 @@
     /// The failure domains of the upstreams; any if empty.
     #[serde(default)]
     pub domains: Vec<Arc<str>>,
-    /// Requests with a lower number run earlier.
+    /// Requests with a lower number run earlier, unlike `rank`.
     #[serde(default)]
     pub priority: i32,
     /// The time limit of a request, in milliseconds.
--- a/components/intents/src/lib.rs
+++ b/components/intents/src/lib.rs
@@ -16,7 +16,7 @@
 
 pub use digest::digest;
 pub use document::{
-    DEFAULT_DEADLINE_MS, Document, Intent, Kind, Location, Pool, Share, Upstream, Workspace,
+    DEFAULT_DEADLINE_MS, Document, Intent, Kind, Location, Pool, Share, UpstreamLabels, Workspace,
 };
 pub use error::Error;
 pub use plan::{Miss, Plan, Target};
--- a/components/intents/src/plan.rs
+++ b/components/intents/src/plan.rs
@@ -175,7 +175,8 @@
         self.document.pools.iter().find(|pool| &*pool.name == name)
     }
 
-    /// The labels of an upstream: those that its host reports, those that operators add, and its name.
+    /// The labels of an upstream: those that the platform reports, those that operators add, and its
+    /// name.
     pub fn labels(&self, upstream: &str, reported: &Labels) -> Labels {
         let mut labels = reported.clone();
         if let Some(added) = self.labels.get(upstream) {
--- a/components/settings/src/router.rs
+++ b/components/settings/src/router.rs
@@ -21,8 +21,9 @@
     pub link_key: Arc<str>,
     /// The URL of the platform's list of hosts.
     pub hosts_url: Arc<str>,
-    /// The URL of the platform's key-value service; without one, calls that may not be
-    /// repeated need an idempotency key from this fleet.
+    /// The URL of the platform's key-value service, which assigns owners to
+    /// idempotency keys that callers choose. Without one, only keys that the fleet
+    /// generated are accepted.
     #[serde(default)]
     pub store_url: Option<Arc<str>>,
     /// The path of the file with the routing intents.
@@ -63,20 +64,20 @@
     pub direct: Option<Direct>,
 }
 
-/// The settings of a router without sidecars.
+/// The settings of a router on a platform, which reaches upstreams without sidecars.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Direct {
     /// The address for `/metrics` and readiness checks: IP address and port.
     pub admin: Arc<str>,
-    /// The address for hints of other routers: IP address and UDP port. Without
-    /// one, the router neither sends nor receives hints.
+    /// The address for other routers, for hints over UDP and queries over TCP.
+    /// Without one, the router exchanges nothing with them and polls the store
+    /// itself.
     pub hints: Option<Arc<str>>,
     /// The time between two polls of the platform's store, in milliseconds.
     pub poll_interval_ms: u64,
-    /// How long a confirmation of the store's content by another router is valid, in
-    /// milliseconds.
+    /// How long a confirmation of the store's content is valid, in milliseconds.
     pub confirmation_ttl_ms: u64,
-    /// The host's capacity for serving other routers, compared between hosts.
+    /// The host's capacity for serving other routers, relative to other hosts.
     pub strength: u32,
     /// Whether this is the first start of the whole fleet.
     pub first_start: bool,
@@ -132,7 +133,7 @@
     }
 }
 
-/// Upper bound of a request body, which has to fit into a frame of the link.
+/// Upper bound of `body_bytes` with sidecars, as a request body has to fit into a frame of the link.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
 
 impl Check for Router {
