--- a/components/link/src/error.rs
+++ b/components/link/src/error.rs
@@ -59,7 +59,7 @@
 }
 
 impl Error {
-    /// Whether certainly no byte of a request reached the other side.
+    /// Whether no byte of a request can have reached the other side.
     pub fn is_unsent(&self) -> bool {
         matches!(
             self,
--- a/components/link/src/links.rs
+++ b/components/link/src/links.rs
@@ -11,8 +11,8 @@
 
 use crate::{Call, Connection, Error};
 
-/// An upstream's connection; the lock is held while it is being opened.
-type Slot = Rc<Mutex<Option<OpenLink>>>;
+/// The connection to an upstream, locked while it is being opened.
+type Entry = Rc<Mutex<Option<OpenLink>>>;
 
 /// An open connection and its address.
 #[derive(Debug)]
@@ -26,18 +26,17 @@
 pub struct Links {
     hello: Hello,
     timeout: Duration,
-    slots: RefCell<HashMap<Arc<str>, Slot>>,
+    entries: RefCell<HashMap<Arc<str>, Entry>>,
 }
 
 impl Links {
-    /// Creates an empty set whose connections are greeted with `hello` and opened within
-    /// `timeout`.
+    /// Creates links that identify themselves with `hello` and must open within `timeout`.
     pub fn new(hello: Hello, timeout: Duration) -> Self {
-        Self { hello, timeout, slots: RefCell::default() }
+        Self { hello, timeout, entries: RefCell::default() }
     }
 
-    /// Ensures that a connection to `upstream` is open. Returns the upstream's greeting if
-    /// it was opened by this call.
+    /// Ensures that a connection to `upstream` is open. Returns the upstream's [`Welcome`]
+    /// if it was opened by this call.
     ///
     /// # Errors
     ///
@@ -50,7 +49,7 @@
         self.open(upstream, address).await.map(|(_, welcome)| welcome)
     }
 
-    /// Sends a request of one frame. Also returns the upstream's greeting if the
+    /// Sends a request of one frame. Also returns the upstream's [`Welcome`] if the
     /// connection was opened by this call.
     ///
     /// # Errors
@@ -73,15 +72,15 @@
         upstream: &Arc<str>,
         address: &str,
     ) -> Result<(Connection, Option<Welcome>), Error> {
-        let slot = self.slots.borrow_mut().entry(upstream.clone()).or_default().clone();
-        let mut slot = slot.lock().await;
-        if let Some(link) = &*slot
+        let entry = self.entries.borrow_mut().entry(upstream.clone()).or_default().clone();
+        let mut entry = entry.lock().await;
+        if let Some(link) = &*entry
             && *link.address == *address
             && !link.connection.is_closed()
         {
             return Ok((link.connection.clone(), None));
         }
-        *slot = None;
+        *entry = None;
         let (connection, welcome) =
             Connection::open(address, self.hello.clone(), self.timeout).await?;
         if welcome.name != *upstream {
@@ -89,7 +88,7 @@
             let (expected, found) = (upstream.to_string(), welcome.name.to_string());
             return Err(Error::WrongPeer { expected, found });
         }
-        *slot = Some(OpenLink { address: address.into(), connection: connection.clone() });
+        *entry = Some(OpenLink { address: address.into(), connection: connection.clone() });
         Ok((connection, Some(welcome)))
     }
 }
--- a/components/outbound/src/client.rs
+++ b/components/outbound/src/client.rs
@@ -70,19 +70,19 @@
         taken
     }
 
-    /// Adds an idle connection. It expires after the upstream's `idle_timeout`, if known, and
-    /// after `max_idle` at the latest.
+    /// Adds an idle connection. It expires after the idle timeout that its upstream
+    /// advertised, and after `max_idle` at the latest.
     pub(crate) fn put(
         &self,
         address: Arc<str>,
         connection: Connection,
-        idle_timeout: Option<Duration>,
+        advertised_timeout: Option<Duration>,
     ) {
         if connection.is_closed() {
             return;
         }
         let expires_at = Instant::now()
-            + idle_timeout.map_or(self.max_idle, |timeout| timeout.min(self.max_idle));
+            + advertised_timeout.map_or(self.max_idle, |timeout| timeout.min(self.max_idle));
         self.idle
             .borrow_mut()
             .entry(address)
--- a/components/outbound/src/connection.rs
+++ b/components/outbound/src/connection.rs
@@ -13,9 +13,9 @@
 use crate::Error;
 use crate::error::{ConnectSnafu, InterruptedSnafu};
 
-/// Limit of buffered bytes that were read from a connection and not yet taken, so that
-/// answers to slow callers don't exhaust the memory of a small host.
-const MAX_BUFFER_BYTES: usize = 16 * 1024;
+/// Upper bound of a connection's read buffer, which limits the memory that the answer to
+/// a slow caller can use.
+const MAX_READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// An open connection and the task that drives it. Dropping it closes the connection and
 /// cancels a request in flight.
@@ -32,7 +32,7 @@
         let stream = opened.map_err(|_| Error::Timeout)?.context(ConnectSnafu)?;
         stream.set_nodelay(true).context(ConnectSnafu)?;
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(MAX_BUFFER_BYTES);
+        builder.max_buf_size(MAX_READ_BUFFER_BYTES);
         let (sender, driver) =
             builder.handshake(TokioIo::new(stream)).await.context(InterruptedSnafu)?;
         let task = tokio::task::spawn_local(async move {
--- a/components/router/src/fleet.rs
+++ b/components/router/src/fleet.rs
@@ -264,11 +264,11 @@
     /// Updates the metrics of the state kept for other routers.
     pub(crate) fn record_metrics(&self, metrics: &telemetry::Metrics) {
         let (facts, removals) = self.mirror.borrow().counts();
-        metrics.set_held("facts", facts);
-        metrics.set_held("removals", removals);
-        metrics.set_held("answer_bytes", self.answers.borrow().bytes());
-        metrics.set_held("hearers", self.subscribers.borrow().all().len());
-        metrics.set_held("router_connections", self.connections.get());
+        metrics.set_state_size("facts", facts);
+        metrics.set_state_size("removals", removals);
+        metrics.set_state_size("answer_bytes", self.answers.borrow().bytes());
+        metrics.set_state_size("hearers", self.subscribers.borrow().all().len());
+        metrics.set_state_size("router_connections", self.connections.get());
     }
 
     pub(crate) fn set_connections(&self, count: usize) {
--- a/components/sidecar/src/core.rs
+++ b/components/sidecar/src/core.rs
@@ -38,13 +38,14 @@
     pub tracer: Tracer,
     state: SharedState,
     mailboxes: RefCell<HashMap<CallId, UnboundedSender<Effect>>>,
-    next_id: RefCell<CallId>,
+    /// The id of the last registered call.
+    last_call_id: RefCell<CallId>,
     /// Load reports with their receivers, read by [`crate::peers::send_reports`].
     reports: UnboundedSender<(Peer, wire::Report)>,
 }
 
 impl Core {
-    /// Returns the core and the channel of the load reports to send.
+    /// Creates the core; returns it with the queue of load reports to send.
     pub(crate) fn new(
         settings: settings::Sidecar,
         client: Client,
@@ -52,7 +53,7 @@
         metrics: Arc<Metrics>,
         state: SharedState,
     ) -> (Self, UnboundedReceiver<(Peer, wire::Report)>) {
-        let (reports, outbox) = unbounded_channel();
+        let (reports, report_receiver) = unbounded_channel();
         let core = Self {
             clock: Clock::new(),
             client,
@@ -62,10 +63,10 @@
             settings,
             state,
             mailboxes: RefCell::default(),
-            next_id: RefCell::default(),
+            last_call_id: RefCell::default(),
             reports,
         };
-        (core, outbox)
+        (core, report_receiver)
     }
 
     /// Applies an event to the reducer and delivers the effects.
@@ -101,11 +102,11 @@
 
     /// Registers a new call; returns its id and its mailbox.
     pub(crate) fn register(&self) -> (CallId, UnboundedReceiver<Effect>) {
-        let mut next_id = self.next_id.borrow_mut();
-        *next_id += 1;
+        let mut last_call_id = self.last_call_id.borrow_mut();
+        *last_call_id += 1;
         let (sender, receiver) = unbounded_channel();
-        self.mailboxes.borrow_mut().insert(*next_id, sender);
-        (*next_id, receiver)
+        self.mailboxes.borrow_mut().insert(*last_call_id, sender);
+        (*last_call_id, receiver)
     }
 
     /// Removes the mailbox of a call that has ended.
--- a/components/sidecar/src/peers.rs
+++ b/components/sidecar/src/peers.rs
@@ -45,11 +45,11 @@
 
 /// Sends the load reports, each in a task of its own, so that a receiver that does not
 /// answer delays no others.
-pub(crate) async fn send_reports(core: Rc<Core>, mut outbox: UnboundedReceiver<(Peer, Report)>) {
+pub(crate) async fn send_reports(core: Rc<Core>, mut reports: UnboundedReceiver<(Peer, Report)>) {
     let hello = Hello { key: core.settings.link_key.clone(), name: core.settings.name.clone() };
     let links = Rc::new(Links::new(hello, REPORT_TIMEOUT));
     let mut tasks = JoinSet::new();
-    while let Some((to, report)) = outbox.recv().await {
+    while let Some((to, report)) = reports.recv().await {
         while tasks.try_join_next().is_some() {}
         let (core, links) = (core.clone(), links.clone());
         tasks.spawn_local(async move {
--- a/components/sidecar/src/server.rs
+++ b/components/sidecar/src/server.rs
@@ -98,13 +98,13 @@
         let client = process::client(keep_alive, process::CONNECT_TIMEOUT)
             .await
             .map_err(|error| Error::Client { reason: error.to_string() })?;
-        let (core, outbox) =
+        let (core, reports) =
             Core::new(self.settings, client, self.stop.clone(), self.metrics, self.state);
         let core = Rc::new(core);
         let mut tasks = JoinSet::new();
         tasks.spawn_local(tick(core.clone()));
         tasks.spawn_local(peers::poll_hosts(core.clone()));
-        tasks.spawn_local(peers::send_reports(core.clone(), outbox));
+        tasks.spawn_local(peers::send_reports(core.clone(), reports));
         tasks.spawn_local(listen(core.clone(), self.listener));
         self.stop.requested().await;
         core.apply(Event::Leave);
--- a/components/telemetry/src/metrics.rs
+++ b/components/telemetry/src/metrics.rs
@@ -21,7 +21,7 @@
     share_refusals: Counter<u64>,
     control_bytes: Counter<u64>,
     changes: Counter<u64>,
-    held: Gauge<u64>,
+    state_sizes: Gauge<u64>,
     first_token: Histogram<f64>,
     queue: Histogram<f64>,
 }
@@ -51,7 +51,7 @@
                 "Bytes of control traffic, by kind",
             ),
             changes: counter("silverstack_beliefs", "Changes of what is believed, by kind"),
-            held: meter
+            state_sizes: meter
                 .u64_gauge("silverstack_held")
                 .with_description("What is held, by kind")
                 .build(),
@@ -93,9 +93,10 @@
         self.changes.add(1, &[KeyValue::new("kind", kind)]);
     }
 
-    /// Sets the amount held of a kind, such as `answer_bytes` or `router_connections`.
-    pub fn set_held(&self, kind: &'static str, amount: usize) {
-        self.held.record(amount as u64, &[KeyValue::new("kind", kind)]);
+    /// Sets the size of in-memory state of a kind, such as `answer_bytes` or
+    /// `router_connections`.
+    pub fn set_state_size(&self, kind: &'static str, size: usize) {
+        self.state_sizes.record(size as u64, &[KeyValue::new("kind", kind)]);
     }
 
     /// Records the time from a request's arrival to the head of its answer, in milliseconds.
