--- a/components/standin/src/cache.rs
+++ b/components/standin/src/cache.rs
@@ -1,57 +1,59 @@
-//! The stand-in engine's bounded prefix cache.
+//! The engine's bounded prefix cache.
 
 use std::collections::{BTreeMap, HashMap};
 
 use serde::Serialize;
 
-/// A change of the cache, as the engine publishes it.
+/// A cache event in its published form.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 pub(crate) enum Change {
-    /// Blocks came in.
+    /// Blocks were added.
     BlockStored { block_hashes: Vec<u64> },
-    /// Blocks went out.
+    /// Blocks were evicted.
     BlockRemoved { block_hashes: Vec<u64> },
 }
 
-/// Blocks of prompt tokens, the least recently used going first.
+/// An LRU cache of prompt blocks, by hash.
 #[derive(Debug)]
 pub(crate) struct Cache {
     capacity: usize,
-    used: HashMap<u64, u64>,
+    /// The last use of each block.
+    last_used: HashMap<u64, u64>,
+    /// The blocks by last use.
     order: BTreeMap<u64, u64>,
     clock: u64,
 }
 
 impl Cache {
     pub(crate) fn new(capacity: usize) -> Self {
-        Self { capacity, used: HashMap::new(), order: BTreeMap::new(), clock: 0 }
+        Self { capacity, last_used: HashMap::new(), order: BTreeMap::new(), clock: 0 }
     }
 
-    /// How many of `blocks`, from the first on, are there.
-    pub(crate) fn matched(&self, blocks: &[u64]) -> usize {
-        blocks.iter().take_while(|block| self.used.contains_key(block)).count()
+    /// The number of leading `blocks` that are cached.
+    pub(crate) fn matching_blocks(&self, blocks: &[u64]) -> usize {
+        blocks.iter().take_while(|block| self.last_used.contains_key(block)).count()
     }
 
-    /// Puts `blocks` in and takes the oldest others out.
+    /// Adds `blocks` and evicts the least recently used ones above the capacity.
     pub(crate) fn store(&mut self, blocks: &[u64]) -> Vec<Change> {
         let mut stored = Vec::new();
         for block in blocks {
             self.clock += 1;
-            match self.used.insert(*block, self.clock) {
-                Some(before) => {
-                    self.order.remove(&before);
+            match self.last_used.insert(*block, self.clock) {
+                Some(previous) => {
+                    self.order.remove(&previous);
                 }
                 None => stored.push(*block),
             }
             self.order.insert(self.clock, *block);
         }
         let mut removed = Vec::new();
-        while self.used.len() > self.capacity {
+        while self.last_used.len() > self.capacity {
             let Some((_, oldest)) = self.order.pop_first() else {
                 break;
             };
-            self.used.remove(&oldest);
+            self.last_used.remove(&oldest);
             removed.push(oldest);
         }
         let mut changes = Vec::new();
--- a/components/standin/src/engine.rs
+++ b/components/standin/src/engine.rs
@@ -1,8 +1,9 @@
-//! A model engine that speaks the OpenAI chat-completions API.
+//! A model engine with the OpenAI chat-completions API.
 //!
-//! It batches continuously: every step, each running request either works off
-//! a part of its prompt or generates one token. Requests beyond the batch wait
-//! by priority. `Last-Event-ID` resumes an answer after the event it names.
+//! It batches continuously: in every step, each running request either prefills
+//! a chunk of its prompt or generates one token. Requests beyond the batch wait
+//! in the order of their priority. `Last-Event-ID` resumes an answer after the
+//! named event.
 
 mod http;
 mod steps;
@@ -15,23 +16,23 @@
 use crate::Server;
 use crate::cache::{Cache, Change};
 
-/// The size and speed of an engine.
+/// The capacity and speed of an engine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// The model it serves.
+    /// The name of the served model.
     pub model: String,
-    /// The time of a step, in milliseconds.
+    /// The duration of a step, in milliseconds.
     pub step_ms: u64,
-    /// The requests in a batch.
+    /// The maximum number of requests in the batch.
     pub batch: usize,
-    /// The prompt tokens worked off in a step, for one request.
+    /// The prompt tokens that are prefilled per request and step.
     pub prefill: usize,
-    /// The blocks of 16 tokens that the prefix cache holds.
+    /// The capacity of the prefix cache, in blocks of 16 tokens.
     pub cache_blocks: usize,
-    /// By how much the load report lags, in milliseconds.
+    /// The time between updates of the load in `/metrics`, in milliseconds.
     pub report_lag_ms: u64,
-    /// Of this many cache events, one is lost; none, if zero.
+    /// Every n-th cache event is dropped; zero drops none.
     pub event_gap: u64,
 }
 
@@ -49,20 +50,20 @@
     }
 }
 
-/// What an engine does wrong.
+/// An injected fault of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// It breaks every answer off after this many tokens.
+    /// Every answer is aborted after this many tokens.
     BreakAfter(u64),
-    /// It ends every answer cleanly, but after this many tokens.
+    /// Every answer ends early without an error, after this many tokens.
     ShortAfter(u64),
-    /// It answers every request with what another one asked for.
+    /// Every request gets the answer to a different prompt.
     Crossed,
-    /// It makes no step.
+    /// The engine makes no steps.
     Frozen,
 }
 
@@ -73,18 +74,18 @@
     shared: Shared,
 }
 
-/// One request in the engine.
+/// A request in the engine.
 #[derive(Debug)]
 struct Sequence {
     prompt_blocks: Vec<u64>,
-    /// Prompt tokens still to be worked off.
+    /// Prompt tokens that remain to be prefilled.
     prefill: usize,
-    next: u64,
-    end: u64,
+    next_token: u64,
+    token_limit: u64,
     tokens: tokio::sync::mpsc::UnboundedSender<u64>,
 }
 
-/// What an engine counts.
+/// Counters and gauges of an engine.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
     running: usize,
@@ -102,15 +103,16 @@
     fault: Fault,
     cache: Cache,
     running: Vec<Sequence>,
-    /// By priority and arrival, lowest first.
+    /// By priority and arrival, the lowest first.
     waiting: BTreeMap<(i64, u64), Sequence>,
     arrivals: u64,
     counts: Counts,
-    /// The report that is shown, and when it was taken.
-    shown: (Counts, u64),
+    /// The counts shown in `/metrics`, and the time they were taken at, in
+    /// milliseconds.
+    published: (Counts, u64),
     events: Vec<(u64, Change)>,
-    sequence: u64,
-    /// How often each request id was started.
+    event_sequence: u64,
+    /// The number of starts of each request id.
     runs: HashMap<String, u64>,
     adapters: Vec<String>,
 }
@@ -129,7 +131,7 @@
     ///
     /// # Errors
     ///
-    /// The address can't be listened on.
+    /// Fails if `address` can't be bound.
     pub fn start(address: &str, settings: Settings) -> std::io::Result<Self> {
         let shared = Shared(Arc::new(Mutex::new(Inner {
             cache: Cache::new(settings.cache_blocks),
@@ -139,9 +141,9 @@
             waiting: BTreeMap::new(),
             arrivals: 0,
             counts: Counts::default(),
-            shown: (Counts::default(), 0),
+            published: (Counts::default(), 0),
             events: Vec::new(),
-            sequence: 0,
+            event_sequence: 0,
             runs: HashMap::new(),
             adapters: Vec::new(),
         })));
@@ -150,37 +152,38 @@
         Ok(Self { server, shared })
     }
 
-    /// Its server.
+    /// Returns the HTTP server.
     pub fn server(&self) -> &Server {
         &self.server
     }
 
-    /// Makes it fail from now on.
+    /// Injects a fault.
     pub fn set_fault(&self, fault: Fault) {
         self.shared.lock().fault = fault;
     }
 
-    /// How often the request with this id was started.
+    /// Returns the number of starts of the request with this id.
     pub fn runs(&self, request: &str) -> u64 {
         self.shared.lock().runs.get(request).copied().unwrap_or(0)
     }
 
-    /// How many requests were started.
+    /// Returns the number of started requests.
     pub fn started(&self) -> u64 {
         self.shared.lock().counts.started
     }
 
-    /// How many requests were cancelled by their caller.
+    /// Returns the number of requests that were cancelled by their caller.
     pub fn cancelled(&self) -> u64 {
         self.shared.lock().counts.cancelled
     }
 
-    /// How many requests run now.
+    /// Returns the number of running requests.
     pub fn running(&self) -> usize {
         self.shared.lock().running.len()
     }
 
-    /// Prompt tokens asked for, and those of them found in the cache.
+    /// Returns the prompt tokens of all requests, and those of them that were
+    /// cached.
     pub fn prompt_tokens(&self) -> (u64, u64) {
         let counts = self.shared.lock().counts;
         (counts.prompt_tokens, counts.cached_tokens)
--- a/components/standin/src/engine/http.rs
+++ b/components/standin/src/engine/http.rs
@@ -13,23 +13,22 @@
 use super::{Fault, Sequence, Shared, steps};
 use crate::text::{Prompt, token};
 
-/// The tokens of an answer when the request sets no limit.
-const DEFAULT_TOKENS: u64 = 32;
+/// The length of an answer if the request sets no `max_tokens`.
+const DEFAULT_MAX_TOKENS: u64 = 32;
 
-/// How often a reader of cache events is served: events come this late.
-const EVENT_LAG: Duration = Duration::from_millis(200);
+/// The time between batches of cache events.
+const CACHE_EVENT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The largest request body, in bytes.
-const MAX_BODY: usize = 4 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
-/// The prompt that a crossed answer is made for.
-const OTHER_SEED: u64 = 7;
+/// The seed of the answers under `Fault::Crossed`.
+const CROSSED_SEED: u64 = 7;
 
 pub(super) fn routes(config: &mut web::ServiceConfig, shared: &Shared) {
     ntex::rt::spawn(steps::run(shared.clone())).detach();
     config
         .state(shared.clone())
-        .state(web::types::JsonConfig::default().limit(MAX_BODY))
+        .state(web::types::JsonConfig::default().limit(MAX_BODY_BYTES))
         .route("/v1/chat/completions", web::post().to(complete))
         .route("/v1/load_lora_adapter", web::post().to(load_adapter))
         .route("/v1/unload_lora_adapter", web::post().to(unload_adapter))
@@ -51,13 +50,13 @@
     priority: i64,
 }
 
-/// An answer being generated.
+/// An answer that is being generated.
 struct Generation {
     tokens: UnboundedReceiver<u64>,
     seed: u64,
-    end: u64,
-    prompt: usize,
-    cached: usize,
+    token_limit: u64,
+    prompt_tokens: usize,
+    cached_tokens: usize,
     fault: Fault,
 }
 
@@ -69,67 +68,68 @@
     let chat = chat.into_inner();
     let generation = start(&request, &chat, &shared);
     if chat.stream {
-        streamed(generation, chat.model)
+        stream_answer(generation, chat.model)
     } else {
-        whole(generation, &chat.model).await
+        complete_answer(generation, &chat.model).await
     }
 }
 
 fn start(request: &HttpRequest, chat: &Chat, shared: &Shared) -> Generation {
-    let header = |name| request.headers().get(name).and_then(|it| it.to_str().ok());
-    let resumed = header("last-event-id").and_then(|it| it.parse::<u64>().ok());
+    let header = |name| request.headers().get(name).and_then(|value| value.to_str().ok());
+    let last_event = header("last-event-id").and_then(|id| id.parse::<u64>().ok());
     let prompt = Prompt::new(&chat.model, &chat.messages);
     let (sender, tokens) = unbounded_channel();
-    let end = chat.max_tokens.unwrap_or(DEFAULT_TOKENS);
+    let token_limit = chat.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
     let mut inner = shared.lock();
     if let Some(id) = header("x-request-id") {
         *inner.runs.entry(id.to_owned()).or_default() += 1;
     }
     let fault = inner.fault;
-    let seed = if fault == Fault::Crossed { OTHER_SEED } else { prompt.seed };
+    let seed = if fault == Fault::Crossed { CROSSED_SEED } else { prompt.seed };
     let sequence = Sequence {
         prompt_blocks: prompt.blocks,
         prefill: 0,
-        next: resumed.map_or(0, |last| last + 1),
-        end,
+        next_token: last_event.map_or(0, |last| last + 1),
+        token_limit,
         tokens: sender,
     };
-    let cached = inner.admit(sequence, chat.priority, prompt.tokens);
-    Generation { tokens, seed, end, prompt: prompt.tokens, cached, fault }
+    let cached_tokens = inner.admit(sequence, chat.priority, prompt.tokens);
+    Generation { tokens, seed, token_limit, prompt_tokens: prompt.tokens, cached_tokens, fault }
 }
 
 impl Generation {
-    /// The next token, or `None` at the end, whether due or through a fault.
-    async fn next(&mut self) -> Option<u64> {
-        let place = self.tokens.recv().await?;
+    /// Returns the index of the next token, or `None` at the end of the answer or
+    /// after a fault.
+    async fn next_token(&mut self) -> Option<u64> {
+        let index = self.tokens.recv().await?;
         match self.fault {
-            Fault::BreakAfter(most) | Fault::ShortAfter(most) if place >= most => None,
-            _ => Some(place),
+            Fault::BreakAfter(count) | Fault::ShortAfter(count) if index >= count => None,
+            _ => Some(index),
         }
     }
 
     fn usage(&self, generated: u64) -> Value {
         json!({
-            "prompt_tokens": self.prompt,
+            "prompt_tokens": self.prompt_tokens,
             "completion_tokens": generated,
-            "total_tokens": self.prompt as u64 + generated,
-            "prompt_tokens_details": { "cached_tokens": self.cached },
+            "total_tokens": self.prompt_tokens as u64 + generated,
+            "prompt_tokens_details": { "cached_tokens": self.cached_tokens },
         })
     }
 }
 
-async fn whole(mut generation: Generation, model: &str) -> HttpResponse {
+async fn complete_answer(mut generation: Generation, model: &str) -> HttpResponse {
     let mut text = String::new();
     let mut generated = 0;
-    while let Some(place) = generation.next().await {
-        text.push_str(&token(generation.seed, place));
+    while let Some(index) = generation.next_token().await {
+        text.push_str(&token(generation.seed, index));
         generated += 1;
     }
     if matches!(generation.fault, Fault::BreakAfter(_)) {
-        let broken = Err::<Bytes, _>(std::io::Error::other("broken off"));
+        let aborted = Err::<Bytes, _>(std::io::Error::other("answer aborted"));
         return HttpResponse::Ok()
             .content_type("application/json")
-            .streaming(stream::iter([Ok(Bytes::from_static(b"{")), broken]));
+            .streaming(stream::iter([Ok(Bytes::from_static(b"{")), aborted]));
     }
     HttpResponse::Ok().json(&json!({
         "object": "chat.completion",
@@ -143,50 +143,50 @@
     }))
 }
 
-/// What a streamed answer sends next.
+/// The next event of a streamed answer.
 enum Next {
     Token,
     Usage,
     Done,
-    Over,
+    End,
 }
 
-fn streamed(generation: Generation, model: String) -> HttpResponse {
+fn stream_answer(generation: Generation, model: String) -> HttpResponse {
     let state = (generation, model, 0_u64, Next::Token);
     let events = stream::unfold(state, |(mut generation, model, count, next)| async move {
         let (event, count, next) = match next {
-            Next::Token => match generation.next().await {
-                Some(place) => {
-                    let word = token(generation.seed, place);
-                    let last = place + 1 == generation.end;
-                    let next = if last { Next::Usage } else { Next::Token };
-                    (chunk(place, &model, &word), count + 1, next)
+            Next::Token => match generation.next_token().await {
+                Some(index) => {
+                    let word = token(generation.seed, index);
+                    let is_last = index + 1 == generation.token_limit;
+                    let next = if is_last { Next::Usage } else { Next::Token };
+                    (chunk(index, &model, &word), count + 1, next)
                 }
                 None if matches!(generation.fault, Fault::BreakAfter(_)) => {
-                    let broken = Err(std::io::Error::other("broken off"));
-                    return Some((broken, (generation, model, count, Next::Over)));
+                    let aborted = Err(std::io::Error::other("answer aborted"));
+                    return Some((aborted, (generation, model, count, Next::End)));
                 }
                 None => return None,
             },
-            Next::Usage => (usage(&model, &generation.usage(count)), count, Next::Done),
-            Next::Done => ("data: [DONE]\n\n".to_owned(), count, Next::Over),
-            Next::Over => return None,
+            Next::Usage => (usage_chunk(&model, &generation.usage(count)), count, Next::Done),
+            Next::Done => ("data: [DONE]\n\n".to_owned(), count, Next::End),
+            Next::End => return None,
         };
         Some((Ok(Bytes::from(event)), (generation, model, count, next)))
     });
     HttpResponse::Ok().content_type("text/event-stream").streaming(Box::pin(events))
 }
 
-fn chunk(place: u64, model: &str, word: &str) -> String {
+fn chunk(index: u64, model: &str, word: &str) -> String {
     let body = json!({
         "object": "chat.completion.chunk",
         "model": model,
         "choices": [{ "index": 0, "delta": { "content": word } }],
     });
-    format!("id: {place}\ndata: {body}\n\n")
+    format!("id: {index}\ndata: {body}\n\n")
 }
 
-fn usage(model: &str, usage: &Value) -> String {
+fn usage_chunk(model: &str, usage: &Value) -> String {
     let body = json!({
         "object": "chat.completion.chunk",
         "model": model,
@@ -210,18 +210,21 @@
     shared: web::types::State<Shared>,
 ) -> HttpResponse {
     let name = body["lora_name"].as_str().unwrap_or("").to_owned();
-    shared.lock().adapters.retain(|it| *it != name);
+    shared.lock().adapters.retain(|adapter| *adapter != name);
     HttpResponse::Ok().finish()
 }
 
-/// Cache events as server-sent events; the sequence numbers show gaps.
+/// Streams the cache events as server-sent events; gaps in the sequence numbers
+/// show dropped events.
 async fn cache_events(shared: web::types::State<Shared>) -> HttpResponse {
     let state = (shared.get_ref().clone(), 0_u64);
     let events = stream::unfold(state, |(shared, last)| async move {
-        tokio::time::sleep(EVENT_LAG).await;
+        tokio::time::sleep(CACHE_EVENT_INTERVAL).await;
         let mut text = String::new();
         let mut newest = last;
-        for (sequence, change) in shared.lock().events.iter().filter(|(it, _)| *it > last) {
+        for (sequence, change) in
+            shared.lock().events.iter().filter(|(sequence, _)| *sequence > last)
+        {
             let body = json!({ "seq": sequence, "event": change });
             let _ = write!(text, "id: {sequence}\ndata: {body}\n\n");
             newest = *sequence;
@@ -236,7 +239,7 @@
 
 async fn metrics(shared: web::types::State<Shared>) -> HttpResponse {
     let inner = shared.lock();
-    let counts = inner.shown.0;
+    let counts = inner.published.0;
     let text = format!(
         "# TYPE num_requests_running gauge\nnum_requests_running {}\n\
          # TYPE num_requests_waiting gauge\nnum_requests_waiting {}\n\
--- a/components/standin/src/engine/steps.rs
+++ b/components/standin/src/engine/steps.rs
@@ -4,12 +4,12 @@
 
 use super::{Fault, Inner, Sequence, Shared};
 use crate::cache::Change;
-use crate::text::BLOCK;
+use crate::text::BLOCK_TOKENS;
 
-/// How many cache events are kept for readers that come late.
-const KEPT_EVENTS: usize = 4_096;
+/// The cache events that are kept for later readers.
+const MAX_EVENTS: usize = 4_096;
 
-/// Makes steps until the engine is dropped.
+/// Runs the steps of the engine.
 pub(super) async fn run(shared: Shared) {
     let step = Duration::from_millis(shared.lock().settings.step_ms.max(1));
     let started = Instant::now();
@@ -22,9 +22,9 @@
 }
 
 impl Inner {
-    /// Takes a request in; returns its cached prompt tokens.
+    /// Queues a request and returns the number of its cached prompt tokens.
     pub(super) fn admit(&mut self, mut sequence: Sequence, priority: i64, tokens: usize) -> usize {
-        let cached = self.cache.matched(&sequence.prompt_blocks) * BLOCK;
+        let cached = self.cache.matching_blocks(&sequence.prompt_blocks) * BLOCK_TOKENS;
         sequence.prefill = tokens.saturating_sub(cached);
         self.counts.prompt_tokens += tokens as u64;
         self.counts.cached_tokens += cached as u64;
@@ -35,7 +35,7 @@
     }
 
     fn step(&mut self, now: u64) {
-        self.report(now);
+        self.publish_counts(now);
         if self.fault == Fault::Frozen {
             return;
         }
@@ -50,7 +50,7 @@
         self.running = running;
     }
 
-    /// One step of one request; whether it goes on.
+    /// Advances a request by one step and returns whether it continues.
     fn advance(&mut self, sequence: &mut Sequence) -> bool {
         if sequence.tokens.is_closed() {
             self.counts.cancelled += 1;
@@ -60,38 +60,38 @@
             sequence.prefill = sequence.prefill.saturating_sub(self.settings.prefill);
             if sequence.prefill == 0 {
                 let changes = self.cache.store(&sequence.prompt_blocks);
-                self.publish(changes);
+                self.publish_changes(changes);
             }
             return true;
         }
-        if sequence.next < sequence.end {
-            let _ = sequence.tokens.send(sequence.next);
-            sequence.next += 1;
+        if sequence.next_token < sequence.token_limit {
+            let _ = sequence.tokens.send(sequence.next_token);
+            sequence.next_token += 1;
             self.counts.generated += 1;
         }
-        sequence.next < sequence.end
+        sequence.next_token < sequence.token_limit
     }
 
-    fn publish(&mut self, changes: Vec<Change>) {
+    fn publish_changes(&mut self, changes: Vec<Change>) {
         for change in changes {
-            self.sequence += 1;
-            let gap = self.settings.event_gap;
-            if gap > 0 && self.sequence.is_multiple_of(gap) {
+            self.event_sequence += 1;
+            let drop_interval = self.settings.event_gap;
+            if drop_interval > 0 && self.event_sequence.is_multiple_of(drop_interval) {
                 continue;
             }
-            self.events.push((self.sequence, change));
+            self.events.push((self.event_sequence, change));
         }
-        let surplus = self.events.len().saturating_sub(KEPT_EVENTS);
+        let surplus = self.events.len().saturating_sub(MAX_EVENTS);
         self.events.drain(..surplus);
     }
 
-    /// Shows the counts of now, if the last ones are old enough.
-    fn report(&mut self, now: u64) {
-        if now.saturating_sub(self.shown.1) < self.settings.report_lag_ms {
+    /// Updates the published counts if they are older than the report lag.
+    fn publish_counts(&mut self, now: u64) {
+        if now.saturating_sub(self.published.1) < self.settings.report_lag_ms {
             return;
         }
         self.counts.running = self.running.len();
         self.counts.waiting = self.waiting.len();
-        self.shown = (self.counts, now);
+        self.published = (self.counts, now);
     }
 }
--- a/components/standin/src/hosts.rs
+++ b/components/standin/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The platform's lagging list of live and leaving hosts.
+//! The platform's list of hosts, published with a lag.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -9,18 +9,19 @@
 
 use crate::Server;
 
-/// The truth of now, and what is shown.
+/// The current list of hosts and the published one.
 #[derive(Debug, Default)]
 struct Lists {
-    truth: Vec<Value>,
-    changes: Vec<(Instant, Vec<Value>)>,
-    shown: Vec<Value>,
+    current: Vec<Value>,
+    /// Lists that are not yet published, by their due time.
+    pending: Vec<(Instant, Vec<Value>)>,
+    published: Vec<Value>,
     lag: Duration,
 }
 
 type Shared = Arc<Mutex<Lists>>;
 
-/// A running list.
+/// A server of the list of hosts.
 #[derive(Debug)]
 pub struct Hosts {
     server: Server,
@@ -28,70 +29,70 @@
 }
 
 impl Hosts {
-    /// Starts a list on `address` that shows each change `lag` late.
+    /// Starts a server on `address` that publishes each change after `lag`.
     ///
     /// # Errors
     ///
-    /// The address can't be listened on.
+    /// Fails if `address` can't be bound.
     pub fn start(address: &str, lag: Duration) -> std::io::Result<Self> {
         let lists: Shared = Arc::new(Mutex::new(Lists { lag, ..Lists::default() }));
         let shared = lists.clone();
         let server = Server::start(address, move |config| {
             config
                 .state(shared.clone())
-                .route("/v1/hosts", web::get().to(show))
+                .route("/v1/hosts", web::get().to(get))
                 .route("/v1/hosts", web::put().to(put));
         })?;
         Ok(Self { server, lists })
     }
 
-    /// Its server.
+    /// Returns the HTTP server.
     pub fn server(&self) -> &Server {
         &self.server
     }
 
-    /// Adds a host, or replaces the one of the same name.
+    /// Adds a host, or replaces the one with the same name.
     pub fn put(&self, host: Value) {
         lock(&self.lists).put(host);
     }
 
-    /// Takes a host off.
+    /// Removes a host.
     pub fn remove(&self, name: &str) {
         let mut lists = lock(&self.lists);
-        lists.truth.retain(|it| it["name"] != name);
-        lists.changed();
+        lists.current.retain(|host| host["name"] != name);
+        lists.schedule_publication();
     }
 
     /// Marks a host as leaving.
     pub fn mark_leaving(&self, name: &str) {
         let mut lists = lock(&self.lists);
-        for host in &mut lists.truth {
+        for host in &mut lists.current {
             if host["name"] == name {
                 host["leaving"] = true.into();
             }
         }
-        lists.changed();
+        lists.schedule_publication();
     }
 }
 
 impl Lists {
     fn put(&mut self, host: Value) {
-        self.truth.retain(|it| it["name"] != host["name"]);
-        self.truth.push(host);
-        self.changed();
+        self.current.retain(|listed| listed["name"] != host["name"]);
+        self.current.push(host);
+        self.schedule_publication();
     }
 
-    fn changed(&mut self) {
+    fn schedule_publication(&mut self) {
         let due = Instant::now() + self.lag;
-        self.changes.push((due, self.truth.clone()));
+        self.pending.push((due, self.current.clone()));
     }
 
-    fn shown(&mut self) -> &[Value] {
+    fn published(&mut self) -> &[Value] {
         let now = Instant::now();
-        while self.changes.first().is_some_and(|(due, _)| *due <= now) {
-            self.shown = self.changes.remove(0).1;
+        while self.pending.first().is_some_and(|(due, _)| *due <= now) {
+            self.published = self.pending.remove(0).1;
         }
-        &self.shown
+        &self.published
     }
 }
 
@@ -99,11 +100,11 @@
     lists.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The list, or 304 if the reader has it already.
-async fn show(request: HttpRequest, lists: web::types::State<Shared>) -> HttpResponse {
-    let body = serde_json::json!(lock(&lists).shown()).to_string();
+/// Returns the published list, or 304 if its entity tag matches.
+async fn get(request: HttpRequest, lists: web::types::State<Shared>) -> HttpResponse {
+    let body = serde_json::json!(lock(&lists).published()).to_string();
     let tag = format!("\"{:x}\"", xxh3_64(body.as_bytes()));
-    let known = request.headers().get("if-none-match").and_then(|it| it.to_str().ok());
+    let known = request.headers().get("if-none-match").and_then(|value| value.to_str().ok());
     if known == Some(&tag) {
         return HttpResponse::NotModified().finish();
     }
--- a/components/standin/src/lib.rs
+++ b/components/standin/src/lib.rs
@@ -1,9 +1,9 @@
-//! Small stand-ins for what the fleet meets: a model engine, a plain service,
-//! the platform's list of hosts and its key-value service.
+//! Stand-ins for outside systems: a model engine, a plain service, the
+//! platform's list of hosts and its key-value store.
 //!
-//! Each speaks the published protocol of what it stands in for, runs on one
-//! thread of its own and can be made to fail. They are for tests, measurements
-//! and the laptop binary; the router and the sidecar never contain them.
+//! Each implements the published protocol of the system, runs on a thread of its
+//! own and supports fault injection. They are used by tests, benchmarks and the
+//! local binary, and are not part of the router and the sidecar.
 
 mod cache;
 mod engine;
--- a/components/standin/src/server.rs
+++ b/components/standin/src/server.rs
@@ -1,11 +1,11 @@
-//! One stand-in's HTTP server.
+//! The HTTP server of a stand-in.
 
 use std::future::Future;
 use std::net::{SocketAddr, TcpListener};
 
 use ntex::web;
 
-/// A running server; it stops when [`Server::stop`] is awaited.
+/// A running HTTP server; it stops when [`Server::stop`] is awaited.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -13,7 +13,7 @@
 }
 
 impl Server {
-    /// Serves `configure`'s routes on one thread.
+    /// Serves the routes of `configure` on one thread.
     pub(crate) fn start<F>(address: &str, configure: F) -> std::io::Result<Self>
     where
         F: Fn(&mut web::ServiceConfig) + Clone + Send + 'static,
@@ -30,17 +30,17 @@
         Ok(Self { address, server })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Its base URL.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         format!("http://{}", self.address)
     }
 
-    /// Stops it at once.
+    /// Stops the server without waiting for open requests.
     pub fn stop(&self) -> impl Future<Output = ()> + use<> {
         self.server.stop(false)
     }
--- a/components/standin/src/store.rs
+++ b/components/standin/src/store.rs
@@ -1,7 +1,7 @@
-//! The platform's key-value service: etcd v3, JSON over HTTP.
+//! The platform's key-value store: etcd v3, JSON over HTTP.
 //!
-//! Ranges, puts, transactions with comparisons, leases and watches, each as far
-//! as the fleet uses it.
+//! Implements the subset of ranges, puts, transactions, leases and watches that
+//! the fleet uses.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,21 +16,21 @@
 
 use crate::Server;
 
-/// What is wrong with the service.
+/// An injected fault of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Every call fails without an effect.
+    /// Every call fails without taking effect.
     Down,
-    /// Every call takes this much longer, in milliseconds.
+    /// Every call is delayed by this time, in milliseconds.
     Delay(u64),
-    /// Every call takes effect, but its answer is lost.
+    /// Every call takes effect, but its response is dropped.
     DropAnswers,
 }
 
-/// How often a watch looks for changes.
+/// The time between checks of a watch for changes.
 const WATCH_INTERVAL: Duration = Duration::from_millis(20);
 
 #[derive(Clone, Debug)]
@@ -46,6 +46,7 @@
     fault: Fault,
     revision: u64,
     entries: BTreeMap<String, Entry>,
+    /// The expiry and the TTL of each lease.
     leases: BTreeMap<u64, (Instant, Duration)>,
     history: Vec<(u64, String, Option<Entry>)>,
     calls: u64,
@@ -54,7 +55,7 @@
 #[derive(Clone, Debug, Default)]
 struct Shared(Arc<Mutex<Inner>>);
 
-/// A running service.
+/// A running key-value store.
 #[derive(Debug)]
 pub struct Store {
     server: Server,
@@ -62,40 +63,40 @@
 }
 
 impl Store {
-    /// Starts a service that listens on `address`.
+    /// Starts a store on `address`.
     ///
     /// # Errors
     ///
-    /// The address can't be listened on.
+    /// Fails if `address` can't be bound.
     pub fn start(address: &str) -> std::io::Result<Self> {
         let shared = Shared::default();
         let routes = shared.clone();
         let server = Server::start(address, move |config| {
             config
                 .state(routes.clone())
-                .route("/v3/kv/range", call(Inner::range))
-                .route("/v3/kv/put", call(Inner::put))
-                .route("/v3/kv/txn", call(Inner::transact))
-                .route("/v3/lease/grant", call(Inner::grant))
-                .route("/v3/lease/keepalive", call(Inner::keep_alive))
-                .route("/v3/lease/revoke", call(Inner::revoke))
+                .route("/v3/kv/range", route(Inner::range))
+                .route("/v3/kv/put", route(Inner::put))
+                .route("/v3/kv/txn", route(Inner::transact))
+                .route("/v3/lease/grant", route(Inner::grant))
+                .route("/v3/lease/keepalive", route(Inner::keep_alive))
+                .route("/v3/lease/revoke", route(Inner::revoke))
                 .route("/v3/watch", web::post().to(watch))
                 .route("/trouble", web::post().to(set_fault));
         })?;
         Ok(Self { server, shared })
     }
 
-    /// Its server.
+    /// Returns the HTTP server.
     pub fn server(&self) -> &Server {
         &self.server
     }
 
-    /// Makes it fail from now on.
+    /// Injects a fault.
     pub fn set_fault(&self, fault: Fault) {
         self.shared.lock().fault = fault;
     }
 
-    /// How many calls it has had.
+    /// Returns the number of calls that took effect.
     pub fn calls(&self) -> u64 {
         self.shared.lock().calls
     }
@@ -107,28 +108,28 @@
     }
 }
 
-fn call(act: fn(&mut Inner, &Value) -> Value) -> web::Route {
+fn route(handler: fn(&mut Inner, &Value) -> Value) -> web::Route {
     web::post().to(async move |body: web::types::Json<Value>, shared: web::types::State<Shared>| {
-        answer(&body, &shared, act).await
+        answer(&body, &shared, handler).await
     })
 }
 
 async fn answer(
     body: &Value,
     shared: &Shared,
-    act: fn(&mut Inner, &Value) -> Value,
+    handler: fn(&mut Inner, &Value) -> Value,
 ) -> HttpResponse {
     let fault = shared.lock().fault;
     match fault {
         Fault::Down => return HttpResponse::ServiceUnavailable().finish(),
-        Fault::Delay(more) => tokio::time::sleep(Duration::from_millis(more)).await,
+        Fault::Delay(delay_ms) => tokio::time::sleep(Duration::from_millis(delay_ms)).await,
         Fault::None | Fault::DropAnswers => {}
     }
     let answer = {
         let mut inner = shared.lock();
         inner.calls += 1;
-        inner.lapse();
-        act(&mut inner, body)
+        inner.expire_leases();
+        handler(&mut inner, body)
     };
     if fault == Fault::DropAnswers {
         return HttpResponse::GatewayTimeout().finish();
@@ -142,7 +143,7 @@
 ) -> HttpResponse {
     let fault = match (body["trouble"].as_str(), body["ms"].as_u64()) {
         (Some("down"), _) => Fault::Down,
-        (Some("slow"), Some(more)) => Fault::Delay(more),
+        (Some("slow"), Some(delay_ms)) => Fault::Delay(delay_ms),
         (Some("loses_answers"), _) => Fault::DropAnswers,
         _ => Fault::None,
     };
@@ -150,8 +151,8 @@
     HttpResponse::Ok().finish()
 }
 
-/// A number, which the protocol writes as text.
-fn number(value: &Value) -> u64 {
+/// Parses an integer, which the protocol encodes as a string or a number.
+fn parse_number(value: &Value) -> u64 {
     value.as_u64().or_else(|| value.as_str()?.parse().ok()).unwrap_or(0)
 }
 
@@ -165,22 +166,26 @@
         json!({ "revision": self.revision.to_string() })
     }
 
-    /// Takes out what hung on leases that have run out.
-    fn lapse(&mut self) {
+    /// Removes expired leases and their keys.
+    fn expire_leases(&mut self) {
         let now = Instant::now();
-        let dead: Vec<_> =
-            self.leases.iter().filter(|(_, (due, _))| *due <= now).map(|(id, _)| *id).collect();
-        for id in dead {
-            self.end_lease(id);
+        let expired: Vec<_> = self
+            .leases
+            .iter()
+            .filter(|(_, (expiry, _))| *expiry <= now)
+            .map(|(id, _)| *id)
+            .collect();
+        for id in expired {
+            self.remove_lease(id);
         }
     }
 
-    fn end_lease(&mut self, id: u64) {
+    fn remove_lease(&mut self, id: u64) {
         self.leases.remove(&id);
         let keys: Vec<_> = self
             .entries
             .iter()
-            .filter(|(_, it)| it.lease == id)
+            .filter(|(_, entry)| entry.lease == id)
             .map(|(key, _)| key.clone())
             .collect();
         for key in keys {
@@ -205,12 +210,12 @@
     fn put(&mut self, body: &Value) -> Value {
         let key = decode(&body["key"]);
         self.revision += 1;
-        let created = self.entries.get(&key).map_or(self.revision, |it| it.created);
+        let created = self.entries.get(&key).map_or(self.revision, |entry| entry.created);
         let entry = Entry {
             value: decode(&body["value"]),
             created,
             modified: self.revision,
-            lease: number(&body["lease"]),
+            lease: parse_number(&body["lease"]),
         };
         self.history.push((self.revision, key.clone(), Some(entry.clone())));
         self.entries.insert(key, entry);
@@ -220,14 +225,15 @@
     fn transact(&mut self, body: &Value) -> Value {
         let empty = Vec::new();
         let compares = body["compare"].as_array().unwrap_or(&empty);
-        let succeeded = compares.iter().all(|it| self.compare(it));
+        let succeeded = compares.iter().all(|compare| self.compare(compare));
         let branch = if succeeded { &body["success"] } else { &body["failure"] };
         let operations = branch.as_array().unwrap_or(&empty);
-        let responses: Vec<_> = operations.iter().map(|it| self.operate(it)).collect();
+        let responses: Vec<_> =
+            operations.iter().map(|operation| self.execute(operation)).collect();
         json!({ "header": self.header(), "succeeded": succeeded, "responses": responses })
     }
 
-    fn operate(&mut self, operation: &Value) -> Value {
+    fn execute(&mut self, operation: &Value) -> Value {
         if operation["request_put"].is_object() {
             return json!({ "response_put": self.put(&operation["request_put"]) });
         }
@@ -238,10 +244,12 @@
         let entry = self.entries.get(&decode(&compare["key"]));
         match compare["target"].as_str() {
             Some("CREATE") => {
-                entry.map_or(0, |it| it.created) == number(&compare["create_revision"])
+                entry.map_or(0, |entry| entry.created) == parse_number(&compare["create_revision"])
             }
-            Some("MOD") => entry.map_or(0, |it| it.modified) == number(&compare["mod_revision"]),
-            Some("VALUE") => entry.is_some_and(|it| it.value == decode(&compare["value"])),
+            Some("MOD") => {
+                entry.map_or(0, |entry| entry.modified) == parse_number(&compare["mod_revision"])
+            }
+            Some("VALUE") => entry.is_some_and(|entry| entry.value == decode(&compare["value"])),
             _ => false,
         }
     }
@@ -249,31 +257,33 @@
     fn grant(&mut self, body: &Value) -> Value {
         self.revision += 1;
         let id = self.revision;
-        let length = Duration::from_secs(number(&body["TTL"]));
-        self.leases.insert(id, (Instant::now() + length, length));
+        let ttl = Duration::from_secs(parse_number(&body["TTL"]));
+        self.leases.insert(id, (Instant::now() + ttl, ttl));
         json!({ "header": self.header(), "ID": id.to_string(), "TTL": body["TTL"] })
     }
 
     fn keep_alive(&mut self, body: &Value) -> Value {
-        let id = number(&body["ID"]);
-        let left = self.leases.get_mut(&id).map_or(0, |(due, length)| {
-            *due = Instant::now() + *length;
-            length.as_secs()
+        let id = parse_number(&body["ID"]);
+        let ttl_seconds = self.leases.get_mut(&id).map_or(0, |(expiry, ttl)| {
+            *expiry = Instant::now() + *ttl;
+            ttl.as_secs()
         });
-        json!({ "result": { "ID": id.to_string(), "TTL": left.to_string() } })
+        json!({ "result": { "ID": id.to_string(), "TTL": ttl_seconds.to_string() } })
     }
 
     fn revoke(&mut self, body: &Value) -> Value {
-        self.end_lease(number(&body["ID"]));
+        self.remove_lease(parse_number(&body["ID"]));
         json!({ "header": self.header() })
     }
 
     fn changes(&self, key: &str, end: &str, from: u64) -> Vec<Value> {
-        let within = |it: &str| {
-            if end.is_empty() { it == key } else { it >= key && it < end }
+        let in_range = |changed: &str| {
+            if end.is_empty() { changed == key } else { changed >= key && changed < end }
         };
-        let changes =
-            self.history.iter().filter(|(revision, it, _)| *revision >= from && within(it));
+        let changes = self
+            .history
+            .iter()
+            .filter(|(revision, changed, _)| *revision >= from && in_range(changed));
         changes
             .map(|(_, key, entry)| match entry {
                 Some(entry) => json!({ "type": "PUT", "kv": entry.json(key) }),
@@ -298,7 +308,7 @@
 async fn watch(body: web::types::Json<Value>, shared: web::types::State<Shared>) -> HttpResponse {
     let create = &body["create_request"];
     let (key, end) = (decode(&create["key"]), decode(&create["range_end"]));
-    let from = match number(&create["start_revision"]) {
+    let from = match parse_number(&create["start_revision"]) {
         0 => shared.lock().revision + 1,
         from => from,
     };
@@ -308,7 +318,7 @@
             tokio::time::sleep(WATCH_INTERVAL).await;
             let (events, header, revision, fault) = {
                 let mut inner = shared.lock();
-                inner.lapse();
+                inner.expire_leases();
                 let events = inner.changes(&key, &end, from);
                 (events, inner.header(), inner.revision, inner.fault)
             };
