--- a/benches/control.rs
+++ b/benches/control.rs
@@ -42,16 +42,16 @@
     let port = pretend_sidecars().await;
     for upstreams in [100, 500, 1_000, 2_000] {
         let mut fleet = empty(json!({ "hosts_every_ms": 500 })).await;
-        for place in 0..upstreams {
+        for index in 0..upstreams {
             fleet.hosts.put(json!({
-                "name": format!("engine-{place}"),
-                "address": format!("127.1.{}.{}:{port}", place >> 8, place & 255),
-                "domain": format!("domain-{}", place % 17),
-                "labels": { "model": format!("model-{}", place % 6) },
+                "name": format!("engine-{index}"),
+                "address": format!("127.1.{}.{}:{port}", index >> 8, index & 255),
+                "domain": format!("domain-{}", index % 17),
+                "labels": { "model": format!("model-{}", index % 6) },
             }));
         }
         fleet.start_router();
-        let caller = fleet.mesa(0).await;
+        let caller = fleet.chat_caller(0).await;
         until(|| async {
             let status = caller.page("/status").await.unwrap_or_default();
             let known = status["upstreams"].as_array().cloned().unwrap_or_default();
@@ -73,10 +73,10 @@
         let sidecar = &fleet.sidecars["engine-1"];
         let address = sidecar.address("listen");
         let mut held = Vec::new();
-        for place in 0..routers {
-            let hello = Hello { key: LINK_KEY.into(), name: format!("entry-{place}").into() };
+        for index in 0..routers {
+            let hello = Hello { key: LINK_KEY.into(), name: format!("entry-{index}").into() };
             let opened = Connection::open(&address, hello, Duration::from_secs(5)).await;
-            held.push(opened.expect("it stands").0);
+            held.push(opened.expect("the link opens").0);
         }
         let point = Point::measure(sidecar.id()).await;
         println!("| {routers} | {} | {:.2} | {:.0} |", point.kib, point.core, point.bytes);
--- a/benches/path.rs
+++ b/benches/path.rs
@@ -111,20 +111,20 @@
 async fn run(urls: &[String], fleet: Option<&Fleet>) -> Run {
     let before = fleet.map(Usage::read);
     let mut streams = JoinSet::new();
-    for place in 0..STREAMS {
-        let url = urls[place % urls.len()].clone();
+    for index in 0..STREAMS {
+        let url = urls[index % urls.len()].clone();
         streams.spawn_local(async move {
-            tokio::time::sleep(START * u32::try_from(place).unwrap_or(0) / 1_000).await;
+            tokio::time::sleep(START * u32::try_from(index).unwrap_or(0) / 1_000).await;
             let caller = Caller::new(&url, "mesa", "mesa-laptop-key").await.expect("a client");
-            let name = format!("{place}-{}", url.len());
-            caller.chat(&chat(&name, TOKENS, true)).await.expect("a whole answer")
+            let name = format!("{index}-{}", url.len());
+            caller.chat(&chat(&name, TOKENS, true)).await.expect("a complete answer")
         });
     }
     tokio::time::sleep(START + Duration::from_millis(200)).await;
     let open = fleet.map(Usage::read);
     let mut first_micros = Histogram::new(3).expect("three digits");
     while let Some(answer) = streams.join_next().await {
-        let first = answer.expect("the stream's task").first;
+        let first = answer.expect("the stream task completes").first;
         first_micros += u64::try_from(first.as_micros()).unwrap_or(u64::MAX);
     }
     let after = fleet.map(Usage::read);
@@ -138,9 +138,9 @@
     let fleet = Fleet::start(layout(1, SLOW_CALLERS)).await;
     let before = Usage::read(&fleet);
     let mut held = Vec::new();
-    for place in 0..SLOW_CALLERS {
+    for index in 0..SLOW_CALLERS {
         let caller = Caller::new(&fleet.url(0), "mesa", "mesa-laptop-key").await.expect("a client");
-        let chat = chat(&format!("slow{place}"), SLOW_TOKENS, true);
+        let chat = chat(&format!("slow{index}"), SLOW_TOKENS, true);
         held.push(caller.hold(&chat).await.expect("it begins"));
     }
     let started = Instant::now();
--- a/tests/end_to_end/commands.rs
+++ b/tests/end_to_end/commands.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{Value, json};
 
-use crate::process::write;
+use crate::process::write_json;
 
 const ROUTER: &str = env!("CARGO_BIN_EXE_silverstack-router");
 const SIDECAR: &str = env!("CARGO_BIN_EXE_silverstack-sidecar");
@@ -31,29 +31,29 @@
 }
 
 #[test]
-fn wrong_command_lines_and_settings_end_with_two() {
+fn invalid_arguments_and_settings_exit_with_code_2() {
     assert_eq!(code(ROUTER, &[]), Some(2));
     assert_eq!(code(ROUTER, &["--no-such-flag"]), Some(2));
     assert_eq!(code(ROUTER, &["--settings", "/no/such/file"]), Some(2));
     assert_eq!(code(ROUTER, &["--settings", "examples/router.json", "--log", "loud"]), Some(2));
-    let mut settings: Value =
-        serde_json::from_str(include_str!("../../examples/router.json")).expect("it is JSON");
+    let mut settings: Value = serde_json::from_str(include_str!("../../examples/router.json"))
+        .expect("the example is JSON");
     settings["intents"] = json!("/no/such/file");
-    let path = write(&settings);
+    let path = write_json(&settings);
     let output = run(ROUTER, &["--settings", path.to_str().expect("a path")]);
     assert_eq!(output.status.code(), Some(2));
     assert!(String::from_utf8_lossy(&output.stderr).contains("/no/such/file"));
 }
 
 #[test]
-fn the_examples_pass_their_check() {
+fn example_settings_are_valid() {
     for (binary, path) in [(ROUTER, "examples/router.json"), (SIDECAR, "examples/sidecar.json")] {
         assert_eq!(code(binary, &["--settings", path, "--check"]), Some(0));
     }
 }
 
 #[test]
-fn the_laptop_binary_loses_nothing() {
+fn local_binary_loses_no_chat_or_call() {
     let output = run(LOCAL, &["--quiet", "--chats", "6", "--turns", "3"]);
     let text = String::from_utf8_lossy(&output.stdout);
     assert_eq!(output.status.code(), Some(0), "{text}");
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_pattern_of_load_is_played_and_an_unknown_one_is_not() {
+fn experiment_runs_known_patterns_and_rejects_unknown_ones() {
     let output = run(EXPERIMENT, &["calm", "--json"]);
     assert_eq!(output.status.code(), Some(0));
     let report: Value = serde_json::from_slice(&output.stdout).expect("a line of JSON");
--- a/tests/end_to_end/failures.rs
+++ b/tests/end_to_end/failures.rs
@@ -1,4 +1,4 @@
-//! Promises under kills, freezes and broken answers.
+//! Guarantees under killed and frozen processes, outages and truncated answers.
 
 use std::time::Duration;
 
@@ -8,56 +8,55 @@
 use standin::{EngineFault, EngineSettings, StoreFault};
 use tokio::task::JoinSet;
 
-use crate::fleet::{Fleet, Layout, MODEL, chat, truth, until};
+use crate::fleet::{Fleet, Layout, MODEL, chat, expected_answer, until};
 
-/// The requests of each test that are in flight together.
+/// The number of concurrent requests of each test.
 const REQUESTS: usize = 60;
 
-/// A layout whose answers take about a second.
+/// Returns a layout with answers that take about a second.
 fn slow() -> Layout {
     let engine = EngineSettings { model: MODEL.to_owned(), step_ms: 20, ..Default::default() };
     Layout { engine, latency: Duration::from_millis(300), ..Layout::default() }
 }
 
-/// What came of one keyed call: its key, and the outcome that its caller was
-/// told.
-type Told = (String, Result<(), String>);
+/// The key of a call, and the result or the outcome that its caller got.
+type CallResult = (String, Result<(), String>);
 
-/// Confirms one pickup with a key of its own.
-async fn confirm(caller: Caller, place: usize) -> Told {
-    let key = format!("order-{place}");
-    let path = format!("/orders/{place}");
-    let told = match caller.call("pickup", &path, Some(&key), "{}").await {
+/// Confirms the pickup of one order, with the key of the order.
+async fn confirm(caller: Caller, index: usize) -> CallResult {
+    let key = format!("order-{index}");
+    let path = format!("/orders/{index}");
+    let result = match caller.call("pickup", &path, Some(&key), "{}").await {
         Ok(_) => Ok(()),
-        Err(fault) => Err(fault.outcome().to_owned()),
+        Err(error) => Err(error.outcome().to_owned()),
     };
-    (key, told)
+    (key, result)
 }
 
-async fn confirm_many(fleet: &Fleet) -> JoinSet<Told> {
+async fn confirm_many(fleet: &Fleet) -> JoinSet<CallResult> {
     let mut calls = JoinSet::new();
-    for place in 0..REQUESTS {
-        let caller = fleet.courier(place % 2).await;
-        calls.spawn_local(confirm(caller, place));
+    for index in 0..REQUESTS {
+        let caller = fleet.call_caller(index % 2).await;
+        calls.spawn_local(confirm(caller, index));
     }
     calls
 }
 
-async fn collect(mut calls: JoinSet<Told>) -> Vec<Told> {
-    let mut told = Vec::new();
+async fn collect(mut calls: JoinSet<CallResult>) -> Vec<CallResult> {
+    let mut results = Vec::new();
     while let Some(call) = calls.join_next().await {
-        told.push(call.expect("the call's task"));
+        results.push(call.expect("the call task completes"));
     }
-    told
+    results
 }
 
-/// Whoever was told `not run` was told the truth, and nothing ran twice.
-fn check_told(fleet: &Fleet, told: &[Told]) {
+/// Checks that no call ran twice and that every reported outcome is true.
+fn check_told(fleet: &Fleet, results: &[CallResult]) {
     let runs = fleet.runs();
-    for (key, told) in told {
+    for (key, result) in results {
         let ran = runs.get(key).copied().unwrap_or(0);
         assert!(ran <= 1, "{key} ran {ran} times");
-        match told {
+        match result {
             Ok(()) => assert_eq!(ran, 1, "{key} was answered and did not run"),
             Err(outcome) if outcome == "not_run" => assert_eq!(ran, 0, "{key} ran"),
             Err(outcome) => assert_eq!(outcome, "unknown", "{key}"),
@@ -85,100 +84,103 @@
 }
 
 #[ntex::test]
-async fn a_frozen_sidecar_that_wakes_runs_nothing_a_second_time() {
+async fn a_resumed_sidecar_runs_no_call_twice() {
     let fleet = Fleet::start(Layout { engines: 0, ..slow() }).await;
     let frozen = &fleet.sidecars["pickup-2"];
     frozen.signal(Signal::SIGSTOP);
     let first = collect(confirm_many(&fleet).await).await;
     frozen.signal(Signal::SIGCONT);
-    let again = collect(confirm_many(&fleet).await).await;
-    check_told(&fleet, &again);
-    let sure = first.iter().filter(|(_, told)| told.is_ok()).count();
-    assert!(sure > 0 && sure < REQUESTS, "the freeze did not matter");
+    let repeated = collect(confirm_many(&fleet).await).await;
+    check_told(&fleet, &repeated);
+    let confirmed = first.iter().filter(|(_, result)| result.is_ok()).count();
+    assert!(confirmed > 0 && confirmed < REQUESTS, "the freeze affected no call or every call");
 }
 
 #[ntex::test]
-async fn a_killed_engine_side_never_gives_a_short_answer() {
+async fn a_killed_sidecar_never_truncates_an_answer_silently() {
     let mut fleet = Fleet::start(Layout { services: 0, ..slow() }).await;
     let mut chats = JoinSet::new();
-    for place in 0..REQUESTS {
-        let caller = fleet.mesa(place % 2).await;
+    for index in 0..REQUESTS {
+        let caller = fleet.chat_caller(index % 2).await;
         chats.spawn_local(async move {
-            let chat = chat(&format!("chat{place}"), 40, place % 2 == 0);
-            (truth(&chat), caller.chat(&chat).await)
+            let chat = chat(&format!("chat{index}"), 40, index % 2 == 0);
+            (expected_answer(&chat), caller.chat(&chat).await)
         });
     }
-    until(|| async { fleet.engines.iter().all(|it| it.started() > 3) }).await;
+    until(|| async { fleet.engines.iter().all(|engine| engine.started() > 3) }).await;
     tokio::time::sleep(Duration::from_millis(200)).await;
-    fleet.sidecars.get_mut("engine-1").expect("it runs").kill();
-    let (mut whole, mut cut) = (0, 0);
+    fleet.sidecars.get_mut("engine-1").expect("the process is running").kill();
+    let (mut complete, mut failed) = (0, 0);
     while let Some(chat) = chats.join_next().await {
-        match chat.expect("the chat's task") {
-            (truth, Ok(answer)) => {
-                assert_eq!(answer.text, truth);
-                whole += 1;
+        match chat.expect("the chat task completes") {
+            (expected, Ok(answer)) => {
+                assert_eq!(answer.text, expected);
+                complete += 1;
+            }
+            (_, Err(Error::Truncated { text })) => {
+                panic!("a truncated answer ended without an error: {text}")
             }
-            (_, Err(Error::Truncated { text })) => panic!("a short answer looked whole: {text}"),
-            (_, Err(_)) => cut += 1,
+            (_, Err(_)) => failed += 1,
         }
     }
-    assert!(whole > 0 && cut > 0, "{whole} whole and {cut} cut: the kill did not matter");
+    assert!(complete > 0 && failed > 0, "{complete} complete and {failed} failed");
 }
 
 #[ntex::test]
-async fn an_engine_that_breaks_off_or_ends_early_is_told_as_an_error() {
+async fn truncated_engine_answers_are_reported_as_errors() {
     let fleet = Fleet::start(Layout { services: 0, ..Layout::default() }).await;
-    let caller = fleet.mesa(0).await;
+    let caller = fleet.chat_caller(0).await;
     for fault in [EngineFault::BreakAfter(5), EngineFault::ShortAfter(5)] {
-        fleet.engines.iter().for_each(|it| it.set_fault(fault));
-        let end = caller.chat(&chat("broken", 20, true)).await.expect_err("not whole");
-        assert_eq!((end.kind(), end.outcome()), ("truncated", "ran"), "{fault:?}: {end}");
+        fleet.engines.iter().for_each(|engine| engine.set_fault(fault));
+        let error =
+            caller.chat(&chat("broken", 20, true)).await.expect_err("the answer is truncated");
+        assert_eq!((error.kind(), error.outcome()), ("truncated", "ran"), "{fault:?}: {error}");
     }
-    fleet.engines.iter().for_each(|it| it.set_fault(EngineFault::BreakAfter(5)));
-    caller.chat(&chat("broken", 20, false)).await.expect_err("not whole");
-    fleet.engines.iter().for_each(|it| it.set_fault(EngineFault::None));
+    fleet.engines.iter().for_each(|engine| engine.set_fault(EngineFault::BreakAfter(5)));
+    caller.chat(&chat("broken", 20, false)).await.expect_err("the answer is truncated");
+    fleet.engines.iter().for_each(|engine| engine.set_fault(EngineFault::None));
     let chat = chat("mended", 20, true);
-    assert_eq!(caller.chat(&chat).await.expect("whole").text, truth(&chat));
+    assert_eq!(caller.chat(&chat).await.expect("a complete answer").text, expected_answer(&chat));
 }
 
 #[ntex::test]
-async fn a_caller_that_goes_away_cancels_at_the_engine() {
+async fn a_caller_disconnect_cancels_the_request_at_the_engine() {
     let fleet = Fleet::start(Layout { services: 0, ..slow() }).await;
-    let caller = fleet.mesa(0).await;
+    let caller = fleet.chat_caller(0).await;
     let chat = chat("left", 2_000, true);
-    let asked = caller.chat(&chat);
-    let _ = tokio::time::timeout(Duration::from_millis(300), asked).await;
+    let request = caller.chat(&chat);
+    let _ = tokio::time::timeout(Duration::from_millis(300), request).await;
     let cancelled = || fleet.engines.iter().map(standin::Engine::cancelled).sum::<u64>();
     until(|| async { cancelled() == 1 }).await;
-    until(|| async { fleet.engines.iter().all(|it| it.running() == 0) }).await;
+    until(|| async { fleet.engines.iter().all(|engine| engine.running() == 0) }).await;
 }
 
 #[ntex::test]
-async fn a_leaving_upstream_gets_no_new_work() {
+async fn a_leaving_upstream_gets_no_new_requests() {
     let fleet = Fleet::start(Layout { services: 0, ..Layout::default() }).await;
     fleet.hosts.mark_leaving("engine-2");
-    // The promise allows a few seconds; the list lags by 50 ms here.
+    // The list of hosts lags by 50 ms here.
     tokio::time::sleep(Duration::from_secs(1)).await;
     let before = fleet.engines[1].started();
-    let caller = fleet.mesa(0).await;
-    for place in 0..REQUESTS {
-        let chat = chat(&format!("after{place}"), 2, true);
-        let answer = caller.chat(&chat).await.expect("a whole answer");
+    let caller = fleet.chat_caller(0).await;
+    for index in 0..REQUESTS {
+        let chat = chat(&format!("after{index}"), 2, true);
+        let answer = caller.chat(&chat).await.expect("a complete answer");
         assert_ne!(answer.upstream, "engine-2");
     }
     assert_eq!(fleet.engines[1].started(), before);
 }
 
 #[ntex::test]
-async fn a_planned_stop_of_every_process_in_turn_cuts_nothing() {
+async fn draining_each_process_in_turn_interrupts_no_stream() {
     let mut fleet = Fleet::start(Layout { services: 0, routers: 3, ..slow() }).await;
-    for place in 0..3 {
-        let streams = start_streams(&fleet, place).await;
-        let name = format!("engine-{}", place + 1);
-        let sidecar = fleet.sidecars.get_mut(&name).expect("it runs");
+    for index in 0..3 {
+        let streams = start_streams(&fleet, index).await;
+        let name = format!("engine-{}", index + 1);
+        let sidecar = fleet.sidecars.get_mut(&name).expect("the process is running");
         sidecar.signal(Signal::SIGTERM);
-        let status = sidecar.ended().await;
-        assert_eq!(status.code(), Some(0), "the sidecar cut something");
+        let status = sidecar.wait_for_exit().await;
+        assert_eq!(status.code(), Some(0), "the sidecar interrupted a stream");
         finish_streams(streams).await;
         fleet.start_sidecar(&name);
         fleet.wait_until_met().await;
@@ -186,22 +188,22 @@
     let streams = start_streams(&fleet, 0).await;
     let router = &mut fleet.routers[0];
     router.signal(Signal::SIGTERM);
-    let status = router.ended().await;
-    assert_eq!(status.code(), Some(0), "the router cut something");
+    let status = router.wait_for_exit().await;
+    assert_eq!(status.code(), Some(0), "the router interrupted a stream");
     finish_streams(streams).await;
 }
 
-/// Starts streams through one router and waits until their engines work.
+/// Starts streams through one router and waits until they run at the engines.
 async fn start_streams(fleet: &Fleet, router: usize) -> JoinSet<()> {
     let started = || fleet.engines.iter().map(standin::Engine::started).sum::<u64>();
     let before = started();
     let mut streams = JoinSet::new();
-    for place in 0..REQUESTS {
-        let caller = fleet.mesa(router).await;
+    for index in 0..REQUESTS {
+        let caller = fleet.chat_caller(router).await;
         streams.spawn_local(async move {
-            let chat = chat(&format!("stream{place}"), 40, true);
-            let answer = retry(|| caller.chat(&chat)).await.expect("a whole answer");
-            assert_eq!(answer.text, truth(&chat));
+            let chat = chat(&format!("stream{index}"), 40, true);
+            let answer = retry(|| caller.chat(&chat)).await.expect("a complete answer");
+            assert_eq!(answer.text, expected_answer(&chat));
         });
     }
     until(|| async { started() - before >= REQUESTS as u64 }).await;
@@ -210,54 +212,63 @@
 
 async fn finish_streams(mut streams: JoinSet<()>) {
     while let Some(stream) = streams.join_next().await {
-        stream.expect("the stream's task");
+        stream.expect("the stream task completes");
     }
 }
 
 #[ntex::test]
-async fn an_outage_of_the_store_stops_only_keys_that_callers_made_up() {
+async fn a_store_outage_affects_only_caller_chosen_keys() {
     let fleet = Fleet::start(Layout { engines: 0, ..Layout::default() }).await;
-    let caller = fleet.courier(0).await;
+    let caller = fleet.call_caller(0).await;
     fleet.store.set_fault(StoreFault::Down);
-    let key = caller.key("pickup").await.expect("a key needs no store");
-    caller.call("pickup", "/a", Some(&key), "{}").await.expect("it runs");
-    let end = caller.call("pickup", "/b", Some("own"), "{}").await.expect_err("no owner");
-    assert_eq!(end.outcome(), "unknown");
+    let key = caller.key("pickup").await.expect("new keys need no store");
+    caller.call("pickup", "/a", Some(&key), "{}").await.expect("the call is answered");
+    let error = caller
+        .call("pickup", "/b", Some("own"), "{}")
+        .await
+        .expect_err("the owner of the key is unknown");
+    assert_eq!(error.outcome(), "unknown");
     fleet.store.set_fault(StoreFault::DropAnswers);
-    let end = caller.call("pickup", "/b", Some("own"), "{}").await.expect_err("no owner");
-    assert_eq!(end.outcome(), "unknown");
+    let error = caller
+        .call("pickup", "/b", Some("own"), "{}")
+        .await
+        .expect_err("the owner of the key is unknown");
+    assert_eq!(error.outcome(), "unknown");
     fleet.store.set_fault(StoreFault::None);
-    caller.call("pickup", "/b", Some("own"), "{}").await.expect("it runs");
+    caller.call("pickup", "/b", Some("own"), "{}").await.expect("the call is answered");
     assert_eq!(fleet.runs()["own"], 1);
     assert_eq!(fleet.runs()[&key], 1);
-    let other = caller.call("pickup", "/c", Some("own"), "{}").await.expect_err("another call");
+    let other = caller
+        .call("pickup", "/c", Some("own"), "{}")
+        .await
+        .expect_err("the key belongs to another call");
     assert_eq!(other.kind(), "key_reused");
 }
 
 #[ntex::test]
-async fn a_lower_generation_changes_nothing() {
+async fn a_lower_generation_is_ignored() {
     let fleet = Fleet::start(Layout { engines: 1, services: 0, ..Layout::default() }).await;
-    let caller = fleet.mesa(0).await;
+    let caller = fleet.chat_caller(0).await;
     let generation = || async {
         caller.page("/status").await.expect("a page")["generation"].as_u64().unwrap_or(0)
     };
-    let write = |number: u64| {
+    let write_generation = |number: u64| {
         let mut document: serde_json::Value =
             serde_json::from_str(crate::fleet::INTENTS).expect("the example is JSON");
         document["generation"] = json!(number);
-        std::fs::write(&fleet.intents, document.to_string()).expect("the test can write");
+        std::fs::write(&fleet.intents, document.to_string()).expect("the file is writable");
     };
-    write(5);
+    write_generation(5);
     until(|| async { generation().await == 5 }).await;
-    write(3);
+    write_generation(3);
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     assert_eq!(generation().await, 5);
-    write(6);
+    write_generation(6);
     until(|| async { generation().await == 6 }).await;
 }
 
 #[ntex::test]
-async fn an_address_that_another_host_has_now_gets_no_work_for_the_old_one() {
+async fn a_host_whose_address_answers_with_another_name_gets_no_requests() {
     let fleet = Fleet::start(Layout { engines: 1, services: 0, ..Layout::default() }).await;
     fleet.hosts.put(json!({
         "name": "engine-9",
@@ -265,31 +276,32 @@
         "domain": "domain-1",
         "labels": { "model": MODEL },
     }));
-    let caller = fleet.mesa(0).await;
-    let listed = || async {
+    let caller = fleet.chat_caller(0).await;
+    let upstreams = || async {
         let status = caller.page("/status").await.expect("a page");
         status["upstreams"].as_array().cloned().unwrap_or_default()
     };
-    until(|| async { listed().await.len() == 2 }).await;
-    for place in 0..20 {
-        let answer = caller.chat(&chat(&format!("moved{place}"), 2, true)).await.expect("whole");
+    until(|| async { upstreams().await.len() == 2 }).await;
+    for index in 0..20 {
+        let answer =
+            caller.chat(&chat(&format!("moved{index}"), 2, true)).await.expect("a complete answer");
         assert_eq!(answer.upstream, "engine-1");
     }
-    let stranger = listed().await.into_iter().find(|it| it["name"] == "engine-9");
-    assert_eq!(stranger.expect("it is listed")["up"], false);
+    let renamed = upstreams().await.into_iter().find(|upstream| upstream["name"] == "engine-9");
+    assert_eq!(renamed.expect("the host is listed")["up"], false);
 }
 
 #[ntex::test]
-async fn a_frozen_sidecar_holds_up_no_chat_that_may_run_elsewhere() {
+async fn chats_complete_on_other_engines_while_a_sidecar_is_frozen() {
     let fleet = Fleet::start(Layout { services: 0, ..Layout::default() }).await;
     fleet.sidecars["engine-3"].signal(Signal::SIGSTOP);
     let mut chats = JoinSet::new();
-    for place in 0..REQUESTS {
-        let caller = fleet.mesa(place % 2).await;
+    for index in 0..REQUESTS {
+        let caller = fleet.chat_caller(index % 2).await;
         chats.spawn_local(async move {
-            let chat = chat(&format!("chat{place}"), 5, true);
-            let answer = retry(|| caller.chat(&chat)).await.expect("a whole answer");
-            assert_eq!(answer.text, truth(&chat));
+            let chat = chat(&format!("chat{index}"), 5, true);
+            let answer = retry(|| caller.chat(&chat)).await.expect("a complete answer");
+            assert_eq!(answer.text, expected_answer(&chat));
             assert_ne!(answer.upstream, "engine-3");
         });
     }
@@ -303,49 +315,50 @@
     until(|| async { fleet.runs().len() > REQUESTS / 4 }).await;
     fleet.routers[0].kill();
     let first = collect(calls).await;
-    let cut = first.iter().filter(|(_, told)| told.as_ref().is_err_and(String::is_empty)).count();
-    assert!(cut > 0, "the kill came too late to matter");
-    // Every caller repeats its call through the other router until it is told.
-    let mut again = JoinSet::new();
-    for place in 0..REQUESTS {
-        let caller = fleet.courier(1).await;
-        again.spawn_local(async move {
-            let mut told = confirm(caller.clone(), place).await;
+    let lost =
+        first.iter().filter(|(_, result)| result.as_ref().is_err_and(String::is_empty)).count();
+    assert!(lost > 0, "the kill interrupted no call");
+    // Every caller repeats its call through the other router until it is answered.
+    let mut calls = JoinSet::new();
+    for index in 0..REQUESTS {
+        let caller = fleet.call_caller(1).await;
+        calls.spawn_local(async move {
+            let mut result = confirm(caller.clone(), index).await;
             for _ in 0..20 {
-                if told.1.is_ok() {
-                    return told;
+                if result.1.is_ok() {
+                    return result;
                 }
                 tokio::time::sleep(Duration::from_millis(100)).await;
-                told = confirm(caller.clone(), place).await;
+                result = confirm(caller.clone(), index).await;
             }
-            told
+            result
         });
     }
-    let again = collect(again).await;
-    check_told(&fleet, &again);
-    assert!(again.iter().all(|(_, told)| told.is_ok()), "{again:?}");
+    let repeated = collect(calls).await;
+    check_told(&fleet, &repeated);
+    assert!(repeated.iter().all(|(_, result)| result.is_ok()), "{repeated:?}");
 }
 
 #[ntex::test]
-async fn a_killed_sidecar_in_an_outage_of_the_store_makes_no_call_run_twice() {
+async fn a_sidecar_killed_during_a_store_outage_makes_no_call_run_twice() {
     let mut fleet = Fleet::start(Layout { engines: 0, ..slow() }).await;
     let calls = confirm_many(&fleet).await;
     until(|| async { fleet.runs().len() > REQUESTS / 4 }).await;
     fleet.store.set_fault(StoreFault::Down);
-    fleet.sidecars.get_mut("pickup-3").expect("it runs").kill();
+    fleet.sidecars.get_mut("pickup-3").expect("the process is running").kill();
     check_told(&fleet, &collect(calls).await);
     fleet.start_sidecar("pickup-3");
     fleet.wait_until_met().await;
     let during = collect(confirm_many(&fleet).await).await;
-    assert!(during.iter().all(|(_, told)| told == &Err("unknown".to_owned())), "{during:?}");
+    assert!(during.iter().all(|(_, result)| result == &Err("unknown".to_owned())), "{during:?}");
     fleet.store.set_fault(StoreFault::None);
     let after = collect(confirm_many(&fleet).await).await;
     check_told(&fleet, &after);
-    assert!(after.iter().any(|(_, told)| told.is_ok()));
+    assert!(after.iter().any(|(_, result)| result.is_ok()));
 }
 
 #[ntex::test]
-async fn a_planned_stop_cuts_none_of_a_thousand_streams() {
+async fn draining_interrupts_none_of_a_thousand_streams() {
     const STREAMS: usize = 1_000;
     let engine = EngineSettings {
         model: MODEL.to_owned(),
@@ -354,18 +367,18 @@
         ..Default::default()
     };
     let admission = json!({ "slots": STREAMS, "bound": { "multiple": 1.25, "floor": 1_000_000 } });
-    // A debug build takes a while to take so many in.
+    // A debug build needs longer to admit this many requests.
     let router = json!({ "drain_notice_ms": 100, "routing": { "admit_ms": 20_000 } });
     let layout = Layout { services: 0, engine, admission, router, ..Layout::default() };
     let mut fleet = Fleet::start(layout).await;
     let mut streams = JoinSet::new();
-    let callers = [fleet.mesa(0).await, fleet.mesa(1).await];
-    for place in 0..STREAMS {
-        let caller = callers[place % 2].clone();
+    let callers = [fleet.chat_caller(0).await, fleet.chat_caller(1).await];
+    for index in 0..STREAMS {
+        let caller = callers[index % 2].clone();
         streams.spawn_local(async move {
-            let chat = chat(&format!("many{place}"), 40, true);
-            let answer = retry(|| caller.chat(&chat)).await.expect("a whole answer");
-            assert_eq!(answer.text, truth(&chat));
+            let chat = chat(&format!("many{index}"), 40, true);
+            let answer = retry(|| caller.chat(&chat)).await.expect("a complete answer");
+            assert_eq!(answer.text, expected_answer(&chat));
         });
     }
     let started = || fleet.engines.iter().map(standin::Engine::started).sum::<u64>();
@@ -373,7 +386,8 @@
     fleet.sidecars["engine-1"].signal(Signal::SIGTERM);
     fleet.routers[0].signal(Signal::SIGTERM);
     finish_streams(streams).await;
-    let sidecar = fleet.sidecars.get_mut("engine-1").expect("it runs").ended().await;
-    let router = fleet.routers[0].ended().await;
+    let sidecar =
+        fleet.sidecars.get_mut("engine-1").expect("the process is running").wait_for_exit().await;
+    let router = fleet.routers[0].wait_for_exit().await;
     assert_eq!((sidecar.code(), router.code()), (Some(0), Some(0)));
 }
--- a/tests/end_to_end/fleet.rs
+++ b/tests/end_to_end/fleet.rs
@@ -1,4 +1,4 @@
-//! Real routers and sidecars around stand-ins that the test holds.
+//! A fleet of router and sidecar processes, with stand-ins inside the test process.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -8,21 +8,20 @@
 use serde_json::{Value, json};
 use standin::{Engine, EngineSettings, Hosts, PlainService, Prompt, Store};
 
-use crate::process::{Process, write};
+use crate::process::{Process, write_json};
 
-/// Any free port of this host.
 const ANY_PORT: &str = "127.0.0.1:0";
 
-/// The link key of the tests.
+/// The link key of all routers and sidecars.
 pub const LINK_KEY: &str = "a-link-key-for-the-tests";
 
-/// The intents of the examples.
+/// The example intents.
 pub const INTENTS: &str = include_str!("../../examples/intents.json");
 
-/// The model of the intents.
+/// The model of the example intents.
 pub const MODEL: &str = "menu-7b";
 
-/// How many of each there are, and how they are set.
+/// The size and the settings of a fleet.
 #[derive(Clone, Debug)]
 pub struct Layout {
     pub routers: usize,
@@ -50,7 +49,7 @@
     }
 }
 
-/// A fleet of processes.
+/// A running fleet.
 #[derive(Debug)]
 pub struct Fleet {
     pub layout: Layout,
@@ -64,7 +63,7 @@
 }
 
 impl Fleet {
-    /// Starts a fleet and waits until every router has met every upstream.
+    /// Starts a fleet and waits until every router is connected to every upstream.
     pub async fn start(layout: Layout) -> Self {
         let lag = Duration::from_millis(50);
         let mut fleet = Self {
@@ -74,19 +73,20 @@
             services: Vec::new(),
             sidecars: BTreeMap::new(),
             routers: Vec::new(),
-            intents: write(&serde_json::from_str(INTENTS).expect("the example is JSON")),
+            intents: write_json(&serde_json::from_str(INTENTS).expect("the example is JSON")),
             layout,
         };
-        for place in 1..=fleet.layout.engines {
-            let engine = Engine::start(ANY_PORT, fleet.layout.engine.clone()).expect("it starts");
+        for index in 1..=fleet.layout.engines {
+            let engine =
+                Engine::start(ANY_PORT, fleet.layout.engine.clone()).expect("the stand-in starts");
             fleet.engines.push(engine);
-            fleet.start_sidecar(&format!("engine-{place}"));
+            fleet.start_sidecar(&format!("engine-{index}"));
         }
-        for place in 1..=fleet.layout.services {
-            let name = format!("pickup-{place}");
-            let plain =
-                PlainService::start(ANY_PORT, &name, fleet.layout.latency).expect("it starts");
-            fleet.services.push(plain);
+        for index in 1..=fleet.layout.services {
+            let name = format!("pickup-{index}");
+            let service = PlainService::start(ANY_PORT, &name, fleet.layout.latency)
+                .expect("the stand-in starts");
+            fleet.services.push(service);
             fleet.start_sidecar(&name);
         }
         for _ in 0..fleet.layout.routers {
@@ -96,14 +96,14 @@
         fleet
     }
 
-    /// Starts the sidecar of an upstream, or starts it again.
+    /// Starts or restarts the sidecar of an upstream.
     pub fn start_sidecar(&mut self, name: &str) {
-        let (kind, place) = name.split_once('-').expect("a name of this fleet");
-        let place: usize = place.parse::<usize>().expect("a number") - 1;
+        let (kind, index) = name.split_once('-').expect("a name of this fleet");
+        let index: usize = index.parse::<usize>().expect("a number") - 1;
         let (url, service, pool) = if kind == "engine" {
-            (self.engines[place].server().url(), "engine", json!({ "model": MODEL }))
+            (self.engines[index].server().url(), "engine", json!({ "model": MODEL }))
         } else {
-            (self.services[place].server().url(), "plain", json!({ "service": kind }))
+            (self.services[index].server().url(), "plain", json!({ "service": kind }))
         };
         let process = Process::start(
             env!("CARGO_BIN_EXE_silverstack-sidecar"),
@@ -124,13 +124,13 @@
         self.hosts.put(json!({
             "name": name,
             "address": process.address("listen"),
-            "domain": format!("domain-{}", place % 3 + 1),
+            "domain": format!("domain-{}", index % 3 + 1),
             "labels": pool,
         }));
         self.sidecars.insert(name.to_owned(), process);
     }
 
-    /// Starts one more router.
+    /// Starts another router.
     pub fn start_router(&mut self) {
         let mut settings = json!({
             "name": format!("entry-{}", self.routers.len() + 1),
@@ -149,35 +149,36 @@
         self.routers.push(Process::start(env!("CARGO_BIN_EXE_silverstack-router"), &settings));
     }
 
-    /// Waits until every router has met every upstream that has a sidecar.
+    /// Waits until every router is connected to every upstream that has a sidecar.
     pub async fn wait_until_met(&self) {
-        for place in 0..self.routers.len() {
-            let caller = self.mesa(place).await;
+        for router in 0..self.routers.len() {
+            let caller = self.chat_caller(router).await;
             until(|| async {
                 let status = caller.page("/status").await.unwrap_or_default();
                 let upstreams = status["upstreams"].as_array().cloned().unwrap_or_default();
-                upstreams.iter().filter(|it| it["up"] == true).count() >= self.sidecars.len()
+                upstreams.iter().filter(|upstream| upstream["up"] == true).count()
+                    >= self.sidecars.len()
             })
             .await;
         }
     }
 
-    /// The URL of a router.
+    /// Returns the base URL of a router.
     pub fn url(&self, router: usize) -> String {
         format!("http://{}", self.routers[router].address("listen"))
     }
 
-    /// A caller of the workspace that chats.
-    pub async fn mesa(&self, router: usize) -> Caller {
+    /// Returns a caller of the workspace `mesa`, which sends chats.
+    pub async fn chat_caller(&self, router: usize) -> Caller {
         Caller::new(&self.url(router), "mesa", "mesa-laptop-key").await.expect("a client")
     }
 
-    /// A caller of the workspace that confirms pickups.
-    pub async fn courier(&self, router: usize) -> Caller {
+    /// Returns a caller of the workspace `courier`, which sends keyed calls.
+    pub async fn call_caller(&self, router: usize) -> Caller {
         Caller::new(&self.url(router), "courier", "courier-laptop-key").await.expect("a client")
     }
 
-    /// How often each idempotency key ran, over all services.
+    /// Returns the number of runs of each idempotency key at all services.
     pub fn runs(&self) -> BTreeMap<String, u64> {
         let mut runs = BTreeMap::new();
         for service in &self.services {
@@ -189,20 +190,20 @@
     }
 }
 
-/// Waits until `holds`, or fails the test.
-pub async fn until<F: Future<Output = bool>>(holds: impl Fn() -> F) {
+/// Waits until `condition` is true, or fails the test.
+pub async fn until<F: Future<Output = bool>>(condition: impl Fn() -> F) {
     for _ in 0..1_000 {
-        if holds().await {
+        if condition().await {
             return;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("what the test waits for did not come");
+    panic!("the condition did not become true in time");
 }
 
-/// The first turn of a chat.
+/// Returns the first request of a chat.
 pub fn chat(name: &str, max_tokens: u64, stream: bool) -> Chat {
-    let words: Vec<_> = (0..40).map(|it| format!("{name}-{it}")).collect();
+    let words: Vec<_> = (0..40).map(|index| format!("{name}-{index}")).collect();
     Chat {
         model: MODEL.to_owned(),
         chat: name.to_owned(),
@@ -212,7 +213,7 @@
     }
 }
 
-/// The true answer to a chat.
-pub fn truth(chat: &Chat) -> String {
+/// Returns the answer that the engine gives to `chat`.
+pub fn expected_answer(chat: &Chat) -> String {
     standin::answer(Prompt::new(&chat.model, &chat.messages).seed, chat.max_tokens)
 }
--- a/tests/end_to_end/main.rs
+++ b/tests/end_to_end/main.rs
@@ -1,4 +1,4 @@
-//! Tests with the real binaries as separate processes.
+//! End-to-end tests with the binaries as separate processes.
 
 mod answers;
 mod bad_input;
