--- a/components/experiment/src/cache.rs
+++ b/components/experiment/src/cache.rs
@@ -1,39 +1,39 @@
-//! An engine's cache of chat contexts.
+//! An LRU cache of keys.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// Chats, the least recently used going first.
+/// An LRU cache of chats or prompt prefixes, by hash.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Cache {
-    used: HashMap<u64, u64>,
+    last_used: HashMap<u64, u64>,
     order: BTreeMap<u64, u64>,
     clock: u64,
 }
 
 impl Cache {
-    pub(crate) fn holds(&self, chat: u64) -> bool {
-        self.used.contains_key(&chat)
+    pub(crate) fn contains(&self, key: u64) -> bool {
+        self.last_used.contains_key(&key)
     }
 
-    /// Whether the chat is there; it is the last to go then.
-    pub(crate) fn touch(&mut self, chat: u64) -> bool {
-        let held = self.holds(chat);
-        if held {
-            self.store(chat, usize::MAX);
+    /// Returns whether `key` is cached, and marks it as recently used.
+    pub(crate) fn touch(&mut self, key: u64) -> bool {
+        let cached = self.contains(key);
+        if cached {
+            self.store(key, usize::MAX);
         }
-        held
+        cached
     }
 
-    /// Puts a chat in and takes the oldest out above `most`.
-    pub(crate) fn store(&mut self, chat: u64, most: usize) {
+    /// Adds `key` and evicts the least recently used keys above `capacity`.
+    pub(crate) fn store(&mut self, key: u64, capacity: usize) {
         self.clock += 1;
-        if let Some(before) = self.used.insert(chat, self.clock) {
-            self.order.remove(&before);
+        if let Some(previous) = self.last_used.insert(key, self.clock) {
+            self.order.remove(&previous);
         }
-        self.order.insert(self.clock, chat);
-        while self.used.len() > most {
+        self.order.insert(self.clock, key);
+        while self.last_used.len() > capacity {
             let Some((_, oldest)) = self.order.pop_first() else { return };
-            self.used.remove(&oldest);
+            self.last_used.remove(&oldest);
         }
     }
 }
--- a/components/experiment/src/document.rs
+++ b/components/experiment/src/document.rs
@@ -1,4 +1,4 @@
-//! Documents and host lists of any size.
+//! Generated intents documents and host lists.
 
 use std::collections::BTreeMap;
 
@@ -6,14 +6,14 @@
 use routing::Host;
 use serde_json::json;
 
-/// A document of `workspaces` workspaces and `models` models, each model with
-/// an intent of its own.
+/// Returns a document with the given numbers of workspaces and models, and one
+/// intent per model.
 ///
 /// # Panics
 ///
-/// Never: the document is right for any size.
+/// Panics if the generated document is invalid, which would be a bug.
 pub fn document(generation: u64, workspaces: usize, models: usize) -> Document {
-    let names: Vec<_> = (0..models).map(|it| format!("model-{it}")).collect();
+    let names: Vec<_> = (0..models).map(|index| format!("model-{index}")).collect();
     let intents: Vec<_> = names
         .iter()
         .map(|model| {
@@ -26,7 +26,7 @@
         })
         .collect();
     let workspaces: Vec<_> = (0..workspaces)
-        .map(|it| json!({ "name": format!("workspace-{it}"), "key_sha256": "0".repeat(64) }))
+        .map(|index| json!({ "name": format!("workspace-{index}"), "key_sha256": "0".repeat(64) }))
         .collect();
     let json = json!({
         "generation": generation,
@@ -38,19 +38,18 @@
         "models": names,
         "intents": intents,
     });
-    Document::parse(&json.to_string()).expect("the document is right")
+    Document::parse(&json.to_string()).expect("the document is valid")
 }
 
-/// The list of `count` hosts, dealt over `models` models and `domains` failure
-/// domains.
+/// Returns `count` hosts, distributed evenly over the models and failure domains.
 pub fn hosts(count: usize, models: usize, domains: usize) -> Vec<Host> {
     (0..count)
-        .map(|place| Host {
-            name: format!("engine-{place}").into(),
+        .map(|index| Host {
+            name: format!("engine-{index}").into(),
             entry: "".into(),
-            address: format!("10.{}.{}.{}:7001", place >> 16, place >> 8 & 255, place & 255).into(),
-            domain: format!("domain-{}", place % domains).into(),
-            labels: BTreeMap::from([("model".into(), format!("model-{}", place % models).into())]),
+            address: format!("10.{}.{}.{}:7001", index >> 16, index >> 8 & 255, index & 255).into(),
+            domain: format!("domain-{}", index % domains).into(),
+            labels: BTreeMap::from([("model".into(), format!("model-{}", index % models).into())]),
             leaving: false,
             slots: 0,
             born: 0,
--- a/components/experiment/src/lib.rs
+++ b/components/experiment/src/lib.rs
@@ -1,19 +1,18 @@
-//! Many reducers in one process.
+//! Simulations and cost measurements of the router and sidecar state machines.
 //!
-//! Not a cluster simulator: an event queue with delays, a few hundred lines,
-//! that carries the frames of real [`routing::State`]s and
-//! [`admission::State`]s between each other. [`World`] measures what the
-//! reducers decide together, [`slopes`] what they cost.
+//! [`Simulation`] passes frames between instances of [`routing::State`] and
+//! [`admission::State`] through an event queue with delays, and measures their
+//! combined decisions. [`slopes`] measures their processing time and memory.
 
 mod cache;
 mod document;
 pub mod overload;
 pub mod placement;
 mod queue;
+mod simulation;
 pub mod slopes;
 pub mod surge;
-mod world;
 
 pub use document::{document, hosts};
 pub use queue::Queue;
-pub use world::{Churn, Load, Loss, Outcome, Setup, World};
+pub use simulation::{Churn, Load, Outage, Outcome, Setup, Simulation};
--- a/components/experiment/src/overload.rs
+++ b/components/experiment/src/overload.rs
@@ -1,9 +1,9 @@
-//! Load at its worst: routers that reach a few engines directly, under named patterns of
-//! load.
+//! Simulations of overload: routers that send requests to a few engines directly, under
+//! named patterns of load.
 //!
-//! The routers are real reducers; engines are a model of batch, reading, cache and queue
-//! ([`engine`]). Callers give up at their deadlines and come back once after a refusal, as
-//! they are told. Everything is drawn from one seed, so that a run is the same every time.
+//! The routers are instances of [`routing::State`]; [`engine`] models the batch, prefill,
+//! cache and queue of an engine. Callers time out at their deadlines and retry once after a
+//! refusal. A run is deterministic for its seed.
 
 mod engine;
 mod fleet;
@@ -16,7 +16,7 @@
 
 use routing::Mechanisms;
 
-/// Plays `pattern`, with `mechanisms` in use, from `seed`.
+/// Simulates `pattern` with the given `mechanisms` enabled.
 pub fn run(pattern: Pattern, mechanisms: Mechanisms, seed: u64) -> Report {
     fleet::Fleet::new(pattern, mechanisms, seed).run()
 }
--- a/components/experiment/src/overload/engine.rs
+++ b/components/experiment/src/overload/engine.rs
@@ -1,54 +1,54 @@
-//! A model of an engine: a batch of slots, a queue by urgency, a cache of parts.
+//! A model of an engine: a batch of slots, a priority queue and a cache of prefixes.
 //!
-//! Time goes in steps of one event. A step takes longer the more requests are in the batch,
-//! and longer by what is read of prompts in it; a request's first event comes with the step
-//! in which the last of its prompt is read.
+//! Each step generates one event per request. Its duration grows with the number of requests
+//! in the batch and with the prompt tokens that it prefills. A request gets its first event
+//! in the step that completes its prefill.
 
 use std::collections::VecDeque;
 
 use crate::cache::Cache;
 
-/// Requests at once.
+/// The size of the batch.
 pub(crate) const SLOTS: usize = 16;
 
-/// Requests that may wait; those beyond it are refused.
-const QUEUE: usize = 64;
+/// The capacity of the queue.
+const MAX_QUEUED: usize = 64;
 
-/// Tokens of an event.
-const TOKENS: f64 = 7.0;
+/// The number of tokens in an event.
+const TOKENS_PER_EVENT: f64 = 7.0;
 
-/// What a token takes in an empty batch, and more for each request in it, in milliseconds.
+/// The time of a token: a fixed part, and a part for each request in the batch.
 const TOKEN_MS: f64 = 3.0;
-const TOKEN_MS_EACH: f64 = 0.25;
+const TOKEN_MS_PER_REQUEST: f64 = 0.25;
 
-/// Tokens of prompts that are read in a millisecond, and at most in one step.
-const READ_PER_MS: f64 = 100.0;
-const READ_PER_STEP: u64 = 4_096;
+/// The prefill speed, and the maximum prefill in one step.
+const PREFILL_TOKENS_PER_MS: f64 = 100.0;
+const MAX_PREFILL_TOKENS_PER_STEP: u64 = 4_096;
 
-/// Parts of prompts that stay in the cache.
-const PARTS: usize = 48;
+/// The capacity of the cache, in prefixes.
+const MAX_PREFIXES: usize = 48;
 
-/// Parts that give way to each request that runs, where memory is short.
-const PARTS_EACH: usize = 2;
+/// The prefixes by which a running request reduces the cache if memory is short.
+const PREFIXES_PER_REQUEST: usize = 2;
 
 /// A request at an engine.
 #[derive(Clone, Debug)]
-pub(crate) struct Run {
-    /// Whose it is.
+pub(crate) struct Request {
     pub owner: Owner,
     pub priority: i32,
-    /// The part of the prompt that others share, and its length.
-    pub part: u64,
-    pub shared: u64,
-    /// The rest of the prompt.
-    pub own: u64,
-    /// Events still to come.
+    /// The hash of the shared prefix.
+    pub prefix: u64,
+    /// The tokens of the prefix that are prefilled unless it is cached.
+    pub prefix_tokens: u64,
+    /// The tokens of the prompt after the prefix.
+    pub own_tokens: u64,
+    /// The remaining events.
     pub events: u64,
-    /// Tokens of the prompt that are still to be read, once it is in the batch.
-    pub unread: u64,
+    /// The remaining prompt tokens to prefill, once the request is in the batch.
+    pub prefill: u64,
 }
 
-/// The router, its number for the request, and the attempt.
+/// The router of a request, with its id and attempt there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Owner {
     pub router: usize,
@@ -56,116 +56,116 @@
     pub attempt: u32,
 }
 
-/// What a step brought a request.
+/// An event of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Event {
     pub owner: Owner,
-    /// Whether it is the last one.
-    pub last: bool,
+    /// Whether it is the last event.
+    pub is_last: bool,
 }
 
-/// An engine.
+/// The state of an engine.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Engine {
-    batch: Vec<Run>,
-    queue: VecDeque<Run>,
+    batch: Vec<Request>,
+    queue: VecDeque<Request>,
     cache: Cache,
-    /// Whether requests that run take the memory of parts.
-    short: bool,
-    /// Tokens of shared parts that were read, which copies from other engines may save.
-    pub read: u64,
+    /// Whether running requests reduce the cache.
+    short_memory: bool,
+    /// The prefilled prefix tokens, which copies from other engines can avoid.
+    pub prefilled_prefix_tokens: u64,
 }
 
 impl Engine {
-    /// An engine; `short` says that requests that run take the memory of parts.
-    pub(crate) fn new(short: bool) -> Self {
-        Self { short, ..Self::default() }
+    /// Returns an idle engine with an empty cache.
+    pub(crate) fn new(short_memory: bool) -> Self {
+        Self { short_memory, ..Self::default() }
     }
 
-    /// Takes a request; whether it did.
-    pub(crate) fn take(&mut self, run: Run) -> bool {
-        if self.queue.len() >= QUEUE {
+    /// Queues a request and returns whether the queue had room.
+    pub(crate) fn enqueue(&mut self, request: Request) -> bool {
+        if self.queue.len() >= MAX_QUEUED {
             return false;
         }
-        let place = self.queue.partition_point(|it| it.priority <= run.priority);
-        self.queue.insert(place, run);
+        let index = self.queue.partition_point(|queued| queued.priority <= request.priority);
+        self.queue.insert(index, request);
         true
     }
 
-    /// Whether it holds a part that others may copy.
-    pub(crate) fn holds(&self, part: u64) -> bool {
-        self.cache.holds(part)
+    /// Returns whether a prefix is cached.
+    pub(crate) fn has_prefix(&self, prefix: u64) -> bool {
+        self.cache.contains(prefix)
     }
 
-    /// Drops a request.
+    /// Removes a request.
     pub(crate) fn cancel(&mut self, owner: Owner) {
-        self.batch.retain(|it| it.owner != owner);
-        self.queue.retain(|it| it.owner != owner);
+        self.batch.retain(|request| request.owner != owner);
+        self.queue.retain(|request| request.owner != owner);
     }
 
-    /// Requests that run and wait.
+    /// Returns the number of running and queued requests.
     pub(crate) fn load(&self) -> u64 {
         (self.batch.len() + self.queue.len()) as u64
     }
 
-    /// Requests whose answers have not begun.
+    /// Returns the number of requests without a first event.
     pub(crate) fn waiting(&self) -> u64 {
-        let unread = self.batch.iter().filter(|it| it.unread > 0).count();
-        (unread + self.queue.len()) as u64
+        let prefilling = self.batch.iter().filter(|request| request.prefill > 0).count();
+        (prefilling + self.queue.len()) as u64
     }
 
-    /// Whether it has anything to do.
     pub(crate) fn is_idle(&self) -> bool {
         self.load() == 0
     }
 
-    /// Ends all requests and forgets what it read; returns whose they were.
+    /// Clears the requests and the cache, and returns the owners of the requests.
     pub(crate) fn crash(&mut self) -> Vec<Owner> {
         let crashed = std::mem::take(self);
-        self.read = crashed.read;
-        self.short = crashed.short;
-        crashed.batch.into_iter().chain(crashed.queue).map(|it| it.owner).collect()
+        self.prefilled_prefix_tokens = crashed.prefilled_prefix_tokens;
+        self.short_memory = crashed.short_memory;
+        crashed.batch.into_iter().chain(crashed.queue).map(|request| request.owner).collect()
     }
 
-    /// Works for one step; returns how long it takes and what it brings.
+    /// Runs one step and returns its duration in milliseconds and its events.
     pub(crate) fn step(&mut self) -> (f64, Vec<Event>) {
-        self.fill();
-        let read = self.read_prompts();
+        self.fill_batch();
+        let prefilled = self.prefill();
         #[expect(clippy::cast_precision_loss, reason = "a batch is small")]
-        let token = TOKEN_MS + TOKEN_MS_EACH * self.batch.len() as f64;
-        #[expect(clippy::cast_precision_loss, reason = "at most what is read in a step")]
-        let took = TOKENS * token + read as f64 / READ_PER_MS;
+        let token_ms = TOKEN_MS + TOKEN_MS_PER_REQUEST * self.batch.len() as f64;
+        #[expect(clippy::cast_precision_loss, reason = "bounded by the prefill of a step")]
+        let step_ms = TOKENS_PER_EVENT * token_ms + prefilled as f64 / PREFILL_TOKENS_PER_MS;
         let mut events = Vec::new();
-        for run in self.batch.iter_mut().filter(|it| it.unread == 0) {
-            run.events -= 1;
-            events.push(Event { owner: run.owner, last: run.events == 0 });
+        for request in self.batch.iter_mut().filter(|request| request.prefill == 0) {
+            request.events -= 1;
+            events.push(Event { owner: request.owner, is_last: request.events == 0 });
         }
-        self.batch.retain(|it| it.events > 0);
-        (took, events)
+        self.batch.retain(|request| request.events > 0);
+        (step_ms, events)
     }
 
-    /// Lets requests into free slots.
-    fn fill(&mut self) {
+    /// Moves queued requests into free slots.
+    fn fill_batch(&mut self) {
         while self.batch.len() < SLOTS {
-            let Some(mut run) = self.queue.pop_front() else { return };
-            let held = self.cache.touch(run.part);
-            let shared = if held { 0 } else { run.shared };
-            self.read += shared;
-            run.unread = run.own + shared;
-            let taken = if self.short { PARTS_EACH * self.batch.len() } else { 0 };
-            self.cache.store(run.part, PARTS - taken);
-            self.batch.push(run);
+            let Some(mut request) = self.queue.pop_front() else { return };
+            let cached = self.cache.touch(request.prefix);
+            let prefix_tokens = if cached { 0 } else { request.prefix_tokens };
+            self.prefilled_prefix_tokens += prefix_tokens;
+            request.prefill = request.own_tokens + prefix_tokens;
+            let reduction =
+                if self.short_memory { PREFIXES_PER_REQUEST * self.batch.len() } else { 0 };
+            self.cache.store(request.prefix, MAX_PREFIXES - reduction);
+            self.batch.push(request);
         }
     }
 
-    /// Reads prompts, the first come first; returns how many tokens.
-    fn read_prompts(&mut self) -> u64 {
-        let mut left = READ_PER_STEP;
-        for run in &mut self.batch {
-            let read = run.unread.min(left);
-            run.unread -= read;
-            left -= read;
+    /// Prefills prompts in the order of the batch and returns the number of tokens.
+    fn prefill(&mut self) -> u64 {
+        let mut left = MAX_PREFILL_TOKENS_PER_STEP;
+        for request in &mut self.batch {
+            let prefilled = request.prefill.min(left);
+            request.prefill -= prefilled;
+            left -= prefilled;
         }
-        READ_PER_STEP - left
+        MAX_PREFILL_TOKENS_PER_STEP - left
     }
 }
--- a/components/experiment/src/overload/fleet.rs
+++ b/components/experiment/src/overload/fleet.rs
@@ -1,4 +1,4 @@
-//! Callers, routers and engines, and what passes between them.
+//! The simulated callers, routers and engines.
 
 mod callers;
 mod engines;
@@ -14,56 +14,55 @@
 use rand_chacha::ChaCha8Rng;
 use routing::{Effect, Event, Mechanisms, State};
 
-use self::hints::{LOADS_EVERY, WAITS_EVERY};
+use self::hints::{DELAYS_INTERVAL, LOADS_INTERVAL};
 use self::names::{host, settings};
-use super::engine::{Engine, Owner, Run, SLOTS};
+use super::engine::{Engine, Owner, Request, SLOTS};
 use super::kind::{Kind, document};
 use super::pattern::Pattern;
 use super::report::{End, Report};
 use crate::queue::Queue;
 
-/// Routers and engines.
 const ROUTERS: usize = 4;
 const ENGINES: usize = 6;
 
-/// When the run is over.
-const LAST: Millis = Millis(34_000);
+/// The end of a run.
+const END: Millis = Millis(34_000);
 
 #[derive(Debug)]
-enum Happening {
+enum SimEvent {
     /// A caller sends its next request.
     Arrive,
-    /// A caller comes back who was turned away.
-    Return(Caller),
-    /// A caller gives up.
-    GiveUp { router: usize, id: u64 },
-    /// A request comes to an engine.
-    Reach { engine: usize, run: Run },
-    /// An engine has worked for a step.
+    /// A caller retries after a refusal.
+    Retry(Caller),
+    /// The deadline of a caller.
+    Timeout { router: usize, id: u64 },
+    /// A request arrives at an engine.
+    Deliver { engine: usize, request: Request },
+    /// The next step of an engine.
     Step(usize),
-    /// Something comes back to a router.
+    /// A router receives a signal of an engine.
     Answer { owner: Owner, signal: Signal },
-    /// Nothing may have come for an attempt for too long.
-    Silence { owner: Owner, timeout: Millis },
-    /// The pause of a request is over.
-    Waited { router: usize, id: u64 },
-    /// Routers tell each other of loads.
-    Loads,
-    /// Routers tell each other of waits and outcomes.
-    Waits,
-    /// Engines come or go.
-    Change,
+    /// An attempt may have exceeded its silence timeout.
+    CheckSilence { owner: Owner, timeout: Millis },
+    /// A postponed request is due.
+    Due { router: usize, id: u64 },
+    /// Routers exchange their loads.
+    ShareLoads,
+    /// Routers exchange delays, outcomes and demands.
+    ShareDelays,
+    /// Engines start or stop.
+    ChangeEngines,
 }
 
-/// What comes back from an engine.
+/// A message from an engine to a router.
 #[derive(Clone, Copy, Debug)]
 enum Signal {
-    /// The connection broke.
-    Lost,
-    /// The queue is full.
+    /// The connection failed.
+    ConnectionFailed,
+    /// The queue of the engine is full.
     Refused,
     /// An event of the answer.
-    Event { last: bool },
+    Event { is_last: bool },
 }
 
 /// A caller with a request.
@@ -71,13 +70,13 @@
 struct Caller {
     kind: &'static Kind,
     chat: u64,
-    /// When the request was sent first.
-    first: Millis,
-    /// Whether it has come back.
-    returned: bool,
+    /// The time of the first attempt.
+    first_sent: Millis,
+    /// Whether this is the retry after a refusal.
+    is_retry: bool,
 }
 
-/// A request that has not ended.
+/// An open request.
 #[derive(Debug)]
 struct Open {
     caller: Caller,
@@ -85,23 +84,24 @@
     attempt: u32,
     engine: Option<usize>,
     chunks: u64,
-    begun: Option<Millis>,
-    heard: Millis,
+    answered_at: Option<Millis>,
+    last_received: Millis,
 }
 
-/// A fleet under a pattern of load.
+/// The state of a simulation.
 #[derive(Debug)]
 pub(crate) struct Fleet {
     pattern: Pattern,
-    /// Draws what callers send first, so that it is the same whatever becomes of it.
-    arrivals: ChaCha8Rng,
-    /// Draws the rest.
-    random: ChaCha8Rng,
-    queue: Queue<Happening>,
+    /// Draws the arrivals, separately so that they do not depend on the results.
+    arrival_rng: ChaCha8Rng,
+    /// Draws everything else.
+    rng: ChaCha8Rng,
+    queue: Queue<SimEvent>,
     now: Millis,
     routers: Vec<State>,
     engines: Vec<Engine>,
-    working: Vec<bool>,
+    /// The engines with a scheduled step.
+    stepping: Vec<bool>,
     open: BTreeMap<(usize, u64), Open>,
     next_id: u64,
     report: Report,
@@ -110,100 +110,100 @@
 impl Fleet {
     pub(crate) fn new(pattern: Pattern, mechanisms: Mechanisms, seed: u64) -> Self {
         let settings = settings(mechanisms);
-        let document = Document::parse(&document().to_string()).expect("the document is right");
-        let plan = Arc::new(Plan::compile(document).expect("the document is right"));
-        let routers = (0..ROUTERS).map(|place| {
-            let mut state = State::new(settings.clone(), seed + place as u64);
+        let document = Document::parse(&document().to_string()).expect("the document is valid");
+        let plan = Arc::new(Plan::compile(document).expect("the document is valid"));
+        let routers = (0..ROUTERS).map(|index| {
+            let mut state = State::new(settings.clone(), seed + index as u64);
             state.apply(Event::Configure(plan.clone()), Millis::ZERO);
             state.apply(Event::RouterCount(ROUTERS), Millis::ZERO);
             state
         });
-        let engine = Engine::new(pattern.is_short_of_memory());
+        let engine = Engine::new(pattern.has_short_memory());
         let mut fleet = Self {
             pattern,
-            arrivals: ChaCha8Rng::seed_from_u64(seed),
-            random: ChaCha8Rng::seed_from_u64(!seed),
+            arrival_rng: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(!seed),
             queue: Queue::new(),
             now: Millis::ZERO,
             routers: routers.collect(),
             engines: (0..ENGINES).map(|_| engine.clone()).collect(),
-            working: vec![false; ENGINES],
+            stepping: vec![false; ENGINES],
             open: BTreeMap::new(),
             next_id: 0,
             report: Report::default(),
         };
-        fleet.list();
-        fleet.queue.add(Millis::ZERO, Happening::Arrive);
-        fleet.queue.add(LOADS_EVERY, Happening::Loads);
-        fleet.queue.add(WAITS_EVERY, Happening::Waits);
-        for at in pattern.changes() {
-            fleet.queue.add(at, Happening::Change);
+        fleet.update_hosts();
+        fleet.queue.add(Millis::ZERO, SimEvent::Arrive);
+        fleet.queue.add(LOADS_INTERVAL, SimEvent::ShareLoads);
+        fleet.queue.add(DELAYS_INTERVAL, SimEvent::ShareDelays);
+        for at in pattern.engine_changes() {
+            fleet.queue.add(at, SimEvent::ChangeEngines);
         }
         fleet
     }
 
     pub(crate) fn run(mut self) -> Report {
-        while let Some((at, happening)) = self.queue.pop().filter(|(at, _)| *at <= LAST) {
+        while let Some((at, event)) = self.queue.pop().filter(|(at, _)| *at <= END) {
             self.now = at;
-            self.happen(happening);
+            self.handle(event);
         }
-        self.report.read = self.engines.iter().map(|it| it.read).sum();
+        self.report.read = self.engines.iter().map(|engine| engine.prefilled_prefix_tokens).sum();
         self.report
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Arrive => self.arrive(),
-            Happening::Return(caller) => self.ask(caller),
-            Happening::GiveUp { router, id } => self.give_up(router, id),
-            Happening::Reach { engine, run } => self.reach(engine, run),
-            Happening::Step(engine) => self.step(engine),
-            Happening::Answer { owner, signal } => self.answer(owner, signal),
-            Happening::Silence { owner, timeout } => self.silence(owner, timeout),
-            Happening::Waited { router, id } => self.apply(router, id, Event::Due { id }),
-            Happening::Loads => self.tell_loads(),
-            Happening::Waits => self.tell_waits(),
-            Happening::Change => self.change(),
+    fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Arrive => self.arrive(),
+            SimEvent::Retry(caller) => self.submit(caller),
+            SimEvent::Timeout { router, id } => self.time_out(router, id),
+            SimEvent::Deliver { engine, request } => self.deliver(engine, request),
+            SimEvent::Step(engine) => self.step(engine),
+            SimEvent::Answer { owner, signal } => self.answer(owner, signal),
+            SimEvent::CheckSilence { owner, timeout } => self.check_silence(owner, timeout),
+            SimEvent::Due { router, id } => self.apply(router, id, Event::Due { id }),
+            SimEvent::ShareLoads => self.share_loads(),
+            SimEvent::ShareDelays => self.share_delays(),
+            SimEvent::ChangeEngines => self.change_engines(),
         }
     }
 
-    /// The engines that there are, as the platform lists them.
-    fn list(&mut self) {
-        let there = (0..ENGINES).filter(|it| !self.pattern.is_gone(*it, self.now));
-        let slots = if self.pattern.tells_slots() { SLOTS as u64 } else { 0 };
-        let hosts: Vec<_> = there.map(|it| host(it, slots)).collect();
+    /// Applies the list of running engines to all routers.
+    fn update_hosts(&mut self) {
+        let running = (0..ENGINES).filter(|engine| !self.pattern.is_down(*engine, self.now));
+        let slots = if self.pattern.publishes_slots() { SLOTS as u64 } else { 0 };
+        let hosts: Vec<_> = running.map(|engine| host(engine, slots)).collect();
         for router in &mut self.routers {
             router.apply(Event::Hosts(hosts.clone()), self.now);
         }
     }
 
-    fn change(&mut self) {
+    fn change_engines(&mut self) {
         for engine in 0..ENGINES {
-            if self.pattern.is_gone(engine, self.now) {
+            if self.pattern.is_down(engine, self.now) {
                 for owner in self.engines[engine].crash() {
-                    self.signal(owner, Millis::ZERO, Signal::Lost);
+                    self.signal(owner, Millis::ZERO, Signal::ConnectionFailed);
                 }
             }
         }
-        self.list();
+        self.update_hosts();
     }
 
-    /// Takes an event about a request to its router, and carries out what follows.
+    /// Applies an event to the router of a request and executes the effects.
     fn apply(&mut self, router: usize, id: u64, event: Event) {
         for effect in self.routers[router].apply(event, self.now) {
             match effect {
                 Effect::Send(attempt) => self.send(router, id, &attempt),
-                Effect::Postpone(pause) => {
-                    self.queue.add(self.now + pause, Happening::Waited { router, id });
+                Effect::Postpone(delay) => {
+                    self.queue.add(self.now + delay, SimEvent::Due { router, id });
                 }
                 Effect::Cancel => self.cancel(router, id),
-                Effect::Head(_) => self.begin(router, id),
+                Effect::Head(_) => self.record_answer_start(router, id),
                 Effect::Finish => self.finish(router, id),
                 Effect::Fail(answer) => self.fail(router, id, &answer),
                 Effect::Abort(_) => self.end(router, id, End::Failed),
-                Effect::PublishPrefixes(warm) => {
-                    for other in (0..ROUTERS).filter(|it| *it != router) {
-                        self.routers[other].apply(Event::WarmPrefixes(warm.clone()), self.now);
+                Effect::PublishPrefixes(prefixes) => {
+                    for other in (0..ROUTERS).filter(|other| *other != router) {
+                        self.routers[other].apply(Event::WarmPrefixes(prefixes.clone()), self.now);
                     }
                 }
                 _ => {}
--- a/components/experiment/src/overload/fleet/engines.rs
+++ b/components/experiment/src/overload/fleet/engines.rs
@@ -1,44 +1,46 @@
-//! What passes between routers and engines.
+//! The messages between routers and engines.
 
 use bytes::Bytes;
 use clock::Millis;
 use routing::{Attempt, Event, Reply};
 use wire::{Chunk, Head, Refused, Status};
 
-use super::names::{name, part, place, source, whole};
-use super::{Fleet, Happening, Signal};
-use crate::overload::engine::{Owner, Run};
+use super::names::{engine_at, engine_index, engine_name, prefix_hash, to_millis};
+use super::{Fleet, Signal, SimEvent};
+use crate::overload::engine::{Owner, Request};
 
-/// One way between a router and an engine.
+/// The one-way delay between a router and an engine.
 const DELAY: Millis = Millis(1);
 
 impl Fleet {
     pub(super) fn send(&mut self, router: usize, id: u64, attempt: &Attempt) {
         let Some(open) = self.open.get_mut(&(router, id)) else { return };
-        let engine = place(&attempt.upstream);
+        let engine = engine_index(&attempt.upstream);
         open.attempt = attempt.number;
         open.engine = Some(engine);
         open.chunks = 0;
-        open.heard = self.now;
+        open.last_received = self.now;
         let owner = Owner { router, id, attempt: attempt.number };
         let kind = open.caller.kind;
-        let part = part(&open.caller);
-        let source = attempt.copy_from.as_deref().map(source);
-        // Where memory is short the source may have dropped the part, too.
-        let holds = |it: usize| !self.pattern.is_short_of_memory() || self.engines[it].holds(part);
-        let copied = source.is_some_and(holds);
-        let run = Run {
+        let prefix = prefix_hash(&open.caller);
+        let source = attempt.copy_from.as_deref().map(engine_at);
+        // With short memory the source may have evicted the prefix.
+        let has_prefix = |engine: usize| {
+            !self.pattern.has_short_memory() || self.engines[engine].has_prefix(prefix)
+        };
+        let copied = source.is_some_and(has_prefix);
+        let request = Request {
             owner,
             priority: attempt.priority,
-            part,
-            shared: if copied { 0 } else { kind.shared },
-            own: kind.own,
+            prefix,
+            prefix_tokens: if copied { 0 } else { kind.prefix_tokens },
+            own_tokens: kind.own_tokens,
             events: kind.events,
-            unread: 0,
+            prefill: 0,
         };
-        self.queue.add(self.now + DELAY, Happening::Reach { engine, run });
-        let silence = Happening::Silence { owner, timeout: attempt.timeout };
-        self.queue.add(self.now + attempt.timeout, silence);
+        self.queue.add(self.now + DELAY, SimEvent::Deliver { engine, request });
+        let check = SimEvent::CheckSilence { owner, timeout: attempt.timeout };
+        self.queue.add(self.now + attempt.timeout, check);
     }
 
     pub(super) fn cancel(&mut self, router: usize, id: u64) {
@@ -49,36 +51,36 @@
         }
     }
 
-    pub(super) fn reach(&mut self, engine: usize, run: Run) {
-        let owner = run.owner;
-        if self.pattern.is_gone(engine, self.now) {
-            return self.signal(owner, Millis::ZERO, Signal::Lost);
+    pub(super) fn deliver(&mut self, engine: usize, request: Request) {
+        let owner = request.owner;
+        if self.pattern.is_down(engine, self.now) {
+            return self.signal(owner, Millis::ZERO, Signal::ConnectionFailed);
         }
-        if !self.engines[engine].take(run) {
+        if !self.engines[engine].enqueue(request) {
             return self.signal(owner, Millis::ZERO, Signal::Refused);
         }
         self.report.fullest = self.report.fullest.max(self.engines[engine].load());
-        if !std::mem::replace(&mut self.working[engine], true) {
-            self.queue.add(self.now, Happening::Step(engine));
+        if !std::mem::replace(&mut self.stepping[engine], true) {
+            self.queue.add(self.now, SimEvent::Step(engine));
         }
     }
 
-    /// Sends something back to the router of a request, `after` from now.
-    pub(super) fn signal(&mut self, owner: Owner, after: Millis, signal: Signal) {
-        self.queue.add(self.now + after + DELAY, Happening::Answer { owner, signal });
+    /// Sends a signal to the router of a request after `delay` and the network delay.
+    pub(super) fn signal(&mut self, owner: Owner, delay: Millis, signal: Signal) {
+        self.queue.add(self.now + delay + DELAY, SimEvent::Answer { owner, signal });
     }
 
     pub(super) fn step(&mut self, engine: usize) {
         if self.engines[engine].is_idle() {
-            self.working[engine] = false;
+            self.stepping[engine] = false;
             return;
         }
-        let (took, events) = self.engines[engine].step();
-        let took = whole(took * self.pattern.slowness(engine, self.now));
+        let (step_ms, events) = self.engines[engine].step();
+        let duration = to_millis(step_ms * self.pattern.step_factor(engine, self.now));
         for event in events {
-            self.signal(event.owner, took, Signal::Event { last: event.last });
+            self.signal(event.owner, duration, Signal::Event { is_last: event.is_last });
         }
-        self.queue.add(self.now + took, Happening::Step(engine));
+        self.queue.add(self.now + duration, SimEvent::Step(engine));
     }
 
     pub(super) fn answer(&mut self, owner: Owner, signal: Signal) {
@@ -87,22 +89,22 @@
         if open.attempt != attempt {
             return;
         }
-        open.heard = self.now;
+        open.last_received = self.now;
         match signal {
-            Signal::Lost => {
+            Signal::ConnectionFailed => {
                 self.apply(router, id, Event::ConnectionFailed { id, attempt, sent: true });
             }
             Signal::Refused => {
                 let reply = Reply::Refused(refused());
                 self.apply(router, id, Event::Reply { id, attempt, reply });
             }
-            Signal::Event { last } => self.pass(owner, last),
+            Signal::Event { is_last } => self.relay_event(owner, is_last),
         }
     }
 
-    /// Passes an event of an answer on: with the head before the first one, and the end
-    /// after the last one.
-    pub(super) fn pass(&mut self, owner: Owner, last: bool) {
+    /// Applies an event of an answer to its router, with the head before the first event and
+    /// the end after the last one.
+    pub(super) fn relay_event(&mut self, owner: Owner, is_last: bool) {
         let Owner { router, id, attempt } = owner;
         let Some(open) = self.open.get_mut(&(router, id)) else { return };
         let sequence = open.chunks;
@@ -112,13 +114,13 @@
             if let Some(engine) = open.engine {
                 let (requests, waiting) =
                     (self.engines[engine].load(), self.engines[engine].waiting());
-                let told = Event::Load { upstream: name(engine), requests, waiting };
-                self.routers[router].apply(told, self.now);
+                let load = Event::Load { upstream: engine_name(engine), requests, waiting };
+                self.routers[router].apply(load, self.now);
             }
             replies.push(Reply::Head(Head { attempt, status: 200, headers: Vec::new() }));
         }
         replies.push(Reply::Chunk(Chunk { attempt, sequence, bytes: Bytes::from_static(b"e") }));
-        if last {
+        if is_last {
             let (chunks, status) = (sequence + 1, Status::default());
             replies.push(Reply::End(wire::End { attempt, chunks, bytes: chunks, status }));
         }
@@ -127,18 +129,18 @@
         }
     }
 
-    pub(super) fn silence(&mut self, owner: Owner, timeout: Millis) {
+    pub(super) fn check_silence(&mut self, owner: Owner, timeout: Millis) {
         let Owner { router, id, attempt } = owner;
         let Some(open) = self.open.get(&(router, id)) else { return };
         if open.attempt != attempt {
             return;
         }
-        let quiet = open.heard.until(self.now);
-        if quiet >= timeout {
+        let silence = open.last_received.until(self.now);
+        if silence >= timeout {
             self.apply(router, id, Event::Stalled { id, attempt });
         }
-        let next = if quiet >= timeout { timeout } else { Millis(timeout.0 - quiet.0) };
-        self.queue.add(self.now + next, Happening::Silence { owner, timeout });
+        let next = if silence >= timeout { timeout } else { Millis(timeout.0 - silence.0) };
+        self.queue.add(self.now + next, SimEvent::CheckSilence { owner, timeout });
     }
 }
 
--- a/components/experiment/src/overload/fleet/names.rs
+++ b/components/experiment/src/overload/fleet/names.rs
@@ -1,4 +1,4 @@
-//! The settings of routers, and the names of what there is.
+//! The settings of the routers, and the names of routers and engines.
 
 use std::sync::Arc;
 
@@ -18,21 +18,23 @@
     }
 }
 
-/// The line of the platform's list for an engine that tells `slots`.
+/// Returns the host entry of an engine that publishes `slots`.
 pub(super) fn host(engine: usize, slots: u64) -> Host {
     Host {
-        name: name(engine),
+        name: engine_name(engine),
         entry: "".into(),
-        address: format!("{}:1", name(engine)).into(),
+        address: format!("{}:1", engine_name(engine)).into(),
         domain: "d".into(),
-        labels: [("service", "engine"), ("model", "m")].map(|(a, b)| (a.into(), b.into())).into(),
+        labels: [("service", "engine"), ("model", "m")]
+            .map(|(label, value)| (label.into(), value.into()))
+            .into(),
         leaving: false,
         slots,
         born: 0,
     }
 }
 
-pub(super) fn name(engine: usize) -> Arc<str> {
+pub(super) fn engine_name(engine: usize) -> Arc<str> {
     format!("engine-{engine}").into()
 }
 
@@ -40,18 +42,18 @@
     format!("router-{router}").into()
 }
 
-/// The number of the engine of that name.
-pub(super) fn place(name: &str) -> usize {
-    name.rsplit('-').next().and_then(|it| it.parse().ok()).unwrap_or_default()
+/// Returns the index of the engine with the given name.
+pub(super) fn engine_index(name: &str) -> usize {
+    name.rsplit('-').next().and_then(|index| index.parse().ok()).unwrap_or_default()
 }
 
-/// The number of the engine at that address.
-pub(super) fn source(address: &str) -> usize {
-    place(address.split(':').next().unwrap_or_default())
+/// Returns the index of the engine at the given address.
+pub(super) fn engine_at(address: &str) -> usize {
+    engine_index(address.split(':').next().unwrap_or_default())
 }
 
-/// The hash of the part of a prompt that a caller shares with others.
-pub(super) fn part(caller: &Caller) -> u64 {
+/// Returns the hash of the shared prefix of a caller's prompt.
+pub(super) fn prefix_hash(caller: &Caller) -> u64 {
     placement::key(caller.kind.name, &caller.chat.to_string())
 }
 
@@ -60,6 +62,6 @@
     clippy::cast_sign_loss,
     reason = "a few seconds, not negative"
 )]
-pub(super) fn whole(ms: f64) -> Millis {
+pub(super) fn to_millis(ms: f64) -> Millis {
     Millis(ms.round() as u64)
 }
--- a/components/experiment/src/overload/kind.rs
+++ b/components/experiment/src/overload/kind.rs
@@ -1,31 +1,30 @@
-//! The kinds of request that callers send.
+//! The kinds of requests.
 
 use clock::Millis;
 
-/// A kind of request: sizes in tokens and events, times in milliseconds.
+/// A kind of request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Kind {
     pub name: &'static str,
-    /// Of 100 requests, how many are of this kind.
+    /// The share of all requests.
     pub percent: u32,
-    /// The priority: lower is more urgent.
+    /// The priority; lower is more urgent.
     pub priority: i32,
-    /// Within which time the answer should begin.
+    /// The target for the time to the first event.
     pub objective: Millis,
-    /// When the caller gives up.
+    /// The timeout of the caller.
     pub deadline: Millis,
-    /// The part of the prompt that others share.
-    pub shared: u64,
-    /// The rest of the prompt.
-    pub own: u64,
-    /// The events of an answer.
+    /// The length of the shared prefix.
+    pub prefix_tokens: u64,
+    /// The length of the prompt after the prefix.
+    pub own_tokens: u64,
+    /// The number of events of an answer.
     pub events: u64,
-    /// How many different shared parts there are.
+    /// The number of different prefixes.
     pub chats: u64,
 }
 
-/// The shape of the traffic on the platform: long prompts, chats, and short answers to
-/// prompts of a middle size.
+/// The traffic: long prompts, chats, and short answers to prompts of medium length.
 pub(crate) const KINDS: [Kind; 3] = [
     Kind {
         name: "long",
@@ -33,8 +32,8 @@
         priority: 1,
         objective: Millis(600),
         deadline: Millis(12_000),
-        shared: 8_000,
-        own: 1_000,
+        prefix_tokens: 8_000,
+        own_tokens: 1_000,
         events: 40,
         chats: 20,
     },
@@ -44,8 +43,8 @@
         priority: 0,
         objective: Millis(300),
         deadline: Millis(10_000),
-        shared: 600,
-        own: 130,
+        prefix_tokens: 600,
+        own_tokens: 130,
         events: 30,
         chats: 60,
     },
@@ -55,26 +54,26 @@
         priority: 2,
         objective: Millis(400),
         deadline: Millis(2_500),
-        shared: 1_500,
-        own: 300,
+        prefix_tokens: 1_500,
+        own_tokens: 300,
         events: 3,
         chats: 60,
     },
 ];
 
-/// The intents, kinds and workspaces, as an operator would write them.
+/// Returns an intents document for the kinds.
 pub(crate) fn document() -> serde_json::Value {
     let equals = |label: &str, value: &str| serde_json::json!([{ "op": "equals", "label": label, "value": value }]);
     let kind =
-        |it: &Kind| serde_json::json!({ "name": it.name, "repeatable": true, "keyless": true });
-    let intent = |it: &Kind| {
+        |kind: &Kind| serde_json::json!({ "name": kind.name, "repeatable": true, "keyless": true });
+    let intent = |kind: &Kind| {
         serde_json::json!({
-            "name": it.name,
-            "kinds": equals("name", it.name),
+            "name": kind.name,
+            "kinds": equals("name", kind.name),
             "upstreams": equals("service", "engine"),
-            "priority": it.priority,
-            "deadline_ms": it.deadline.0,
-            "objective_ms": it.objective.0,
+            "priority": kind.priority,
+            "deadline_ms": kind.deadline.0,
+            "objective_ms": kind.objective.0,
             "attempts": 2,
         })
     };
--- a/components/experiment/src/overload/pattern.rs
+++ b/components/experiment/src/overload/pattern.rs
@@ -1,14 +1,13 @@
-//! Patterns of load, by name.
+//! Named patterns of load.
 
 use clock::Millis;
 
-/// Requests a second of the usual traffic; the engines complete about 90 when all their
-/// slots are taken.
-const USUAL: f64 = 40.0;
+/// The usual traffic, in requests per second.
+const USUAL_RATE: f64 = 40.0;
 
-/// When the load begins, and when it is over.
-const BEGINS: Millis = Millis(4_000);
-const ENDS: Millis = Millis(10_000);
+/// The start and the end of the overload.
+const OVERLOAD_START: Millis = Millis(4_000);
+const OVERLOAD_END: Millis = Millis(10_000);
 
 /// A pattern of load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,17 +16,16 @@
     Calm,
     /// Four times the usual traffic for six seconds.
     Surge,
-    /// Three times the usual traffic for six seconds, and half of the engines are gone
-    /// meanwhile.
+    /// Three times the usual traffic for six seconds, while half of the engines are down.
     EnginesLost,
-    /// One engine in three takes five times as long, at one and a half times the usual
-    /// traffic.
+    /// One and a half times the usual traffic, while one engine in three is five times
+    /// slower.
     SlowEngines,
-    /// Twice the usual traffic, while requests that run take the memory of parts, so that
-    /// engines drop parts that routers believe to be there.
+    /// Twice the usual traffic, while running requests reduce the cache, so that engines
+    /// evict prefixes that the routers assume to be cached.
     ShortMemory,
-    /// The same, and engines do not tell how many requests they work on at once.
-    ShortMemoryUntold,
+    /// The same, with engines that do not publish their number of slots.
+    ShortMemoryHiddenSlots,
 }
 
 impl Pattern {
@@ -38,10 +36,10 @@
         Self::EnginesLost,
         Self::SlowEngines,
         Self::ShortMemory,
-        Self::ShortMemoryUntold,
+        Self::ShortMemoryHiddenSlots,
     ];
 
-    /// The name on a command line.
+    /// Returns the name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Self::Calm => "calm",
@@ -49,55 +47,55 @@
             Self::EnginesLost => "engines-lost",
             Self::SlowEngines => "slow-engines",
             Self::ShortMemory => "short-memory",
-            Self::ShortMemoryUntold => "short-memory-untold",
+            Self::ShortMemoryHiddenSlots => "short-memory-untold",
         }
     }
 
-    /// The pattern of that name.
+    /// Returns the pattern with the given name.
     pub fn find(name: &str) -> Option<Self> {
-        Self::ALL.into_iter().find(|it| it.name() == name)
+        Self::ALL.into_iter().find(|pattern| pattern.name() == name)
     }
 
-    /// Requests a second at `now`.
+    /// Returns the requests per second at `now`.
     pub(crate) fn rate(self, now: Millis) -> f64 {
-        let times = match self {
-            _ if !under_load(now) => 1.0,
+        let factor = match self {
+            _ if !is_overload(now) => 1.0,
             Self::Calm => 1.0,
             Self::Surge => 4.0,
             Self::EnginesLost => 3.0,
             Self::SlowEngines => 1.5,
-            Self::ShortMemory | Self::ShortMemoryUntold => 2.0,
+            Self::ShortMemory | Self::ShortMemoryHiddenSlots => 2.0,
         };
-        times * USUAL
+        factor * USUAL_RATE
     }
 
-    /// Whether engine number `engine` is gone at `now`.
-    pub(crate) fn is_gone(self, engine: usize, now: Millis) -> bool {
-        self == Self::EnginesLost && under_load(now) && engine.is_multiple_of(2)
+    /// Returns whether `engine` is down at `now`.
+    pub(crate) fn is_down(self, engine: usize, now: Millis) -> bool {
+        self == Self::EnginesLost && is_overload(now) && engine.is_multiple_of(2)
     }
 
-    /// How many times as long as usual engine number `engine` takes at `now`.
-    pub(crate) fn slowness(self, engine: usize, now: Millis) -> f64 {
-        let slow = self == Self::SlowEngines && under_load(now) && engine.is_multiple_of(3);
+    /// Returns the factor by which steps of `engine` take longer at `now`.
+    pub(crate) fn step_factor(self, engine: usize, now: Millis) -> f64 {
+        let slow = self == Self::SlowEngines && is_overload(now) && engine.is_multiple_of(3);
         if slow { 5.0 } else { 1.0 }
     }
 
-    /// Whether requests that run take the memory of parts.
-    pub(crate) fn is_short_of_memory(self) -> bool {
-        matches!(self, Self::ShortMemory | Self::ShortMemoryUntold)
+    /// Returns whether running requests reduce the cache.
+    pub(crate) fn has_short_memory(self) -> bool {
+        matches!(self, Self::ShortMemory | Self::ShortMemoryHiddenSlots)
     }
 
-    /// Whether engines tell how many requests they work on at once.
-    pub(crate) fn tells_slots(self) -> bool {
+    /// Returns whether engines publish their number of slots.
+    pub(crate) fn publishes_slots(self) -> bool {
         self == Self::ShortMemory
     }
 
-    /// When engines come or go.
-    pub(crate) fn changes(self) -> Vec<Millis> {
-        if self == Self::EnginesLost { vec![BEGINS, ENDS] } else { Vec::new() }
+    /// Returns the times at which engines start or stop.
+    pub(crate) fn engine_changes(self) -> Vec<Millis> {
+        if self == Self::EnginesLost { vec![OVERLOAD_START, OVERLOAD_END] } else { Vec::new() }
     }
 }
 
-fn under_load(now: Millis) -> bool {
-    (BEGINS..ENDS).contains(&now)
+fn is_overload(now: Millis) -> bool {
+    (OVERLOAD_START..OVERLOAD_END).contains(&now)
 }
--- a/components/experiment/src/overload/report.rs
+++ b/components/experiment/src/overload/report.rs
@@ -1,24 +1,24 @@
-//! What a run has shown.
+//! The report of a run.
 
 use clock::Millis;
 use serde::Serialize;
 
-/// What became of the requests that callers sent first in one second.
+/// The results of the requests that were first sent in one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Second {
-    /// Requests, without those that come back.
+    /// Requests, without retries.
     pub asked: u64,
     /// Answers that began within the objective.
     pub in_time: u64,
-    /// Answers that began later.
+    /// Answers that began after the objective.
     pub late: u64,
-    /// Requests that were refused and not served when they came back.
+    /// Requests that were refused, also on their retry.
     pub refused: u64,
-    /// Requests whose callers gave up, or whose answers broke off.
+    /// Requests that timed out or failed.
     pub failed: u64,
 }
 
-/// How a request has ended for its caller.
+/// The result of a request for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum End {
     InTime,
@@ -27,42 +27,42 @@
     Failed,
 }
 
-/// What a run has shown.
+/// The results of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Report {
-    /// By the second in which callers sent their requests first.
+    /// The results by the second of the first attempt.
     pub seconds: Vec<Second>,
-    /// Tries that were under way when their callers gave up.
+    /// Requests that were in progress at their caller's deadline.
     pub expired: u64,
-    /// The most requests that an engine ever carried.
+    /// The maximum load of an engine, in requests.
     pub fullest: u64,
-    /// Tokens of shared parts that engines read.
+    /// The prefix tokens that engines prefilled.
     pub read: u64,
 }
 
 impl Report {
-    /// All seconds together.
+    /// Returns the sum of all seconds.
     pub fn total(&self) -> Second {
-        self.seconds.iter().fold(Second::default(), Second::and)
+        self.seconds.iter().fold(Second::default(), Second::merge)
     }
 
-    /// The second of `at`.
-    fn second(&mut self, at: Millis) -> &mut Second {
-        let place = usize::try_from(at.0 / 1_000).unwrap_or(usize::MAX);
-        if self.seconds.len() <= place {
-            self.seconds.resize(place + 1, Second::default());
+    /// Returns the entry for the time `at`.
+    fn second_mut(&mut self, at: Millis) -> &mut Second {
+        let index = usize::try_from(at.0 / 1_000).unwrap_or(usize::MAX);
+        if self.seconds.len() <= index {
+            self.seconds.resize(index + 1, Second::default());
         }
-        &mut self.seconds[place]
+        &mut self.seconds[index]
     }
 
-    /// Counts a request that a caller sends first at `at`.
-    pub(crate) fn ask(&mut self, at: Millis) {
-        self.second(at).asked += 1;
+    /// Counts a request that is first sent at `at`.
+    pub(crate) fn record_arrival(&mut self, at: Millis) {
+        self.second_mut(at).asked += 1;
     }
 
-    /// Counts the end of a request that a caller sent first at `at`.
-    pub(crate) fn end(&mut self, at: Millis, end: End) {
-        let second = self.second(at);
+    /// Counts the result of a request that was first sent at `at`.
+    pub(crate) fn record_end(&mut self, at: Millis, end: End) {
+        let second = self.second_mut(at);
         match end {
             End::InTime => second.in_time += 1,
             End::Late => second.late += 1,
@@ -71,15 +71,15 @@
         }
     }
 
-    /// The seconds as lines of a table.
+    /// Formats the report as a table.
     pub fn table(&self) -> String {
         let head = "second   asked in time    late refused  failed\n";
-        let line = |name: String, it: &Second| {
-            let Second { asked, in_time, late, refused, failed } = it;
+        let line = |name: String, second: &Second| {
+            let Second { asked, in_time, late, refused, failed } = second;
             format!("{name:>6} {asked:>7} {in_time:>7} {late:>7} {refused:>7} {failed:>7}\n")
         };
         let lines = self.seconds.iter().enumerate();
-        let lines: String = lines.map(|(at, it)| line(at.to_string(), it)).collect();
+        let lines: String = lines.map(|(index, second)| line(index.to_string(), second)).collect();
         let all = line("all".to_owned(), &self.total());
         let Self { expired, fullest, read, .. } = self;
         format!(
@@ -90,8 +90,8 @@
 }
 
 impl Second {
-    /// These and `other`.
-    fn and(self, other: &Self) -> Self {
+    /// Returns the sum of both.
+    fn merge(self, other: &Self) -> Self {
         Self {
             asked: self.asked + other.asked,
             in_time: self.in_time + other.in_time,
--- a/components/experiment/src/queue.rs
+++ b/components/experiment/src/queue.rs
@@ -1,15 +1,15 @@
-//! Events in the order of their time.
+//! A queue of events by time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 use clock::Millis;
 
-/// An event queue; events of the same time come in the order they were added.
+/// An event queue; events with the same time keep the order of their insertion.
 #[derive(Debug)]
 pub struct Queue<T> {
     heap: BinaryHeap<Reverse<Entry<T>>>,
-    added: u64,
+    last_order: u64,
 }
 
 #[derive(Debug)]
@@ -40,18 +40,18 @@
 }
 
 impl<T> Queue<T> {
-    /// An empty queue.
+    /// Returns an empty queue.
     pub fn new() -> Self {
-        Self { heap: BinaryHeap::new(), added: 0 }
+        Self { heap: BinaryHeap::new(), last_order: 0 }
     }
 
-    /// Adds an event for `at`.
+    /// Schedules an event at the time `at`.
     pub fn add(&mut self, at: Millis, event: T) {
-        self.added += 1;
-        self.heap.push(Reverse(Entry { at, order: self.added, event }));
+        self.last_order += 1;
+        self.heap.push(Reverse(Entry { at, order: self.last_order, event }));
     }
 
-    /// Takes the next event out.
+    /// Removes and returns the next event and its time.
     pub fn pop(&mut self) -> Option<(Millis, T)> {
         self.heap.pop().map(|Reverse(entry)| (entry.at, entry.event))
     }
--- a/components/experiment/src/world.rs
+++ b/components/experiment/src/simulation.rs
@@ -1,10 +1,10 @@
-//! Routers, sidecars and engines, and the frames between them.
+//! A simulation of routers, sidecars and engines that exchange frames.
 
 mod faults;
 mod measure;
 mod setup;
 
-pub use setup::{Churn, Load, Loss, Outcome, Setup};
+pub use setup::{Churn, Load, Outage, Outcome, Setup};
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -23,29 +23,29 @@
 use crate::queue::Queue;
 use crate::{document, hosts};
 
-/// How often a sidecar is told that time passed, in milliseconds.
-const TICK_MS: u64 = 20;
+/// The time between ticks of a sidecar, in milliseconds.
+const TICK_INTERVAL_MS: u64 = 20;
 
-/// The tokens of a chat's context in a cache.
+/// The size of the cached context of a chat.
 const CHAT_TOKENS: u64 = 500;
 
 enum Event {
-    Arrive(usize),
+    Arrival(usize),
     Tick(usize),
     ToSidecar { router: usize, id: u64, attempt: u32, sidecar: usize, open: Box<Open> },
     ToRouter { router: usize, id: u64, attempt: u32, frame: Frame },
     Ended { sidecar: usize, call: u64 },
     Report { sidecar: usize, from: usize, report: wire::Report },
     Pool { sidecar: usize, pool: Pool, sum: bool },
-    Lost { router: usize, id: u64, attempt: u32, sent: bool },
-    Vanish,
+    ConnectionFailed { router: usize, id: u64, attempt: u32, sent: bool },
+    Outage,
     Restart(usize),
     Return(usize),
-    List,
-    Note { sidecar: usize, note: wire::DirectoryUpdate },
+    UpdateHosts,
+    DirectoryUpdate { sidecar: usize, update: wire::DirectoryUpdate },
 }
 
-/// Where a call's frames go.
+/// The receiver of the frames of a call.
 #[derive(Clone, Copy)]
 struct Origin {
     router: usize,
@@ -53,8 +53,8 @@
     attempt: u32,
 }
 
-/// A fleet of reducers.
-pub struct World {
+/// A simulated fleet.
+pub struct Simulation {
     setup: Setup,
     loads: Vec<Load>,
     routers: Vec<routing::State>,
@@ -62,39 +62,45 @@
     by_name: HashMap<Arc<str>, usize>,
     origins: HashMap<(usize, u64), Origin>,
     queue: Queue<Event>,
-    random: ChaCha8Rng,
+    rng: ChaCha8Rng,
     now: Millis,
     next_id: u64,
     next_call: u64,
     outcome: Outcome,
-    over_rule: Vec<f64>,
-    gone: Vec<bool>,
+    /// The ratios of a load just after an admission to its ceiling.
+    ceiling_ratios: Vec<f64>,
+    /// The sidecars that are down.
+    down: Vec<bool>,
+    /// The load reports that each sidecar received.
     reports: Vec<u64>,
     caches: Vec<Cache>,
+    /// The chat of each request.
     chats: HashMap<u64, u64>,
-    seen: HashSet<u64>,
-    lives: Vec<u64>,
+    /// The chats that were answered before.
+    seen_chats: HashSet<u64>,
+    incarnations: Vec<u64>,
 }
 
-impl std::fmt::Debug for World {
+impl std::fmt::Debug for Simulation {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.debug_struct("World").field("now", &self.now).finish_non_exhaustive()
+        formatter.debug_struct("Simulation").field("now", &self.now).finish_non_exhaustive()
     }
 }
 
-impl World {
-    /// A fleet in which every router has met every sidecar.
+impl Simulation {
+    /// Returns a fleet in which every router is connected to every sidecar.
     ///
     /// # Panics
     ///
-    /// Never: the document is right.
+    /// Panics if the generated document is invalid, which would be a bug.
     pub fn new(setup: Setup, loads: Vec<Load>) -> Self {
-        let workspaces = loads.iter().map(|it| it.workspace + 1).max().unwrap_or(1);
-        let plan = Arc::new(Plan::compile(document(1, workspaces, 1)).expect("it is right"));
+        let workspaces = loads.iter().map(|load| load.workspace + 1).max().unwrap_or(1);
+        let plan =
+            Arc::new(Plan::compile(document(1, workspaces, 1)).expect("the document is valid"));
         let list = hosts(setup.sidecars, 1, 3);
         let peers: Vec<_> = list
             .iter()
-            .map(|it| Peer { name: it.name.clone(), address: it.address.clone() })
+            .map(|host| Peer { name: host.name.clone(), address: host.address.clone() })
             .collect();
         let mut sidecars: Vec<_> = peers
             .iter()
@@ -104,7 +110,7 @@
             sidecar.apply(admission::Event::Peers(peers.clone()), Millis::ZERO);
         }
         let mut routers: Vec<_> = (0..setup.routers)
-            .map(|place| routing::State::new(setup.routing.clone(), place as u64))
+            .map(|index| routing::State::new(setup.routing.clone(), index as u64))
             .collect();
         for router in &mut routers {
             router.apply(routing::Event::Configure(plan.clone()), Millis::ZERO);
@@ -115,10 +121,10 @@
             }
         }
         let by_name =
-            peers.iter().enumerate().map(|(place, it)| (it.name.clone(), place)).collect();
-        let random = ChaCha8Rng::seed_from_u64(setup.seed);
-        let setup_sidecars = setup.sidecars;
-        let mut world = Self {
+            peers.iter().enumerate().map(|(index, peer)| (peer.name.clone(), index)).collect();
+        let rng = ChaCha8Rng::seed_from_u64(setup.seed);
+        let sidecar_count = setup.sidecars;
+        let mut simulation = Self {
             setup,
             loads,
             routers,
@@ -126,41 +132,41 @@
             by_name,
             origins: HashMap::new(),
             queue: Queue::new(),
-            random,
+            rng,
             now: Millis::ZERO,
             next_id: 0,
             next_call: 0,
             outcome: Outcome::default(),
-            over_rule: Vec::new(),
-            gone: vec![false; setup_sidecars],
-            reports: vec![0; setup_sidecars],
-            caches: vec![Cache::default(); setup_sidecars],
+            ceiling_ratios: Vec::new(),
+            down: vec![false; sidecar_count],
+            reports: vec![0; sidecar_count],
+            caches: vec![Cache::default(); sidecar_count],
             chats: HashMap::new(),
-            seen: HashSet::new(),
-            lives: vec![1; setup_sidecars],
+            seen_chats: HashSet::new(),
+            incarnations: vec![1; sidecar_count],
         };
-        world.begin();
-        world
+        simulation.schedule_first_events();
+        simulation
     }
 
-    fn begin(&mut self) {
-        for place in 0..self.sidecars.len() {
-            let at = self.random.random_range(0..TICK_MS);
-            self.queue.add(Millis(at), Event::Tick(place));
+    fn schedule_first_events(&mut self) {
+        for sidecar in 0..self.sidecars.len() {
+            let at = self.rng.random_range(0..TICK_INTERVAL_MS);
+            self.queue.add(Millis(at), Event::Tick(sidecar));
         }
         if let Some(churn) = self.setup.churn {
-            self.queue.add(Millis(churn.every_ms), Event::Restart(0));
+            self.queue.add(Millis(churn.interval_ms), Event::Restart(0));
         }
-        if let Some(loss) = self.setup.loss {
-            self.queue.add(Millis(loss.at_ms), Event::Vanish);
-            self.queue.add(Millis(loss.at_ms + loss.list_lag_ms), Event::List);
+        if let Some(outage) = self.setup.outage {
+            self.queue.add(Millis(outage.at_ms), Event::Outage);
+            self.queue.add(Millis(outage.at_ms + outage.hosts_lag_ms), Event::UpdateHosts);
         }
-        for place in 0..self.loads.len() {
-            self.queue.add(Millis(self.loads[place].from_ms), Event::Arrive(place));
+        for load in 0..self.loads.len() {
+            self.queue.add(Millis(self.loads[load].start_ms), Event::Arrival(load));
         }
     }
 
-    /// Runs until `end_ms` and returns what came of it.
+    /// Runs until `end_ms` and returns the measurements.
     pub fn run(mut self, end_ms: u64) -> Outcome {
         while let Some((at, event)) = self.queue.pop() {
             if at.0 > end_ms {
@@ -169,22 +175,22 @@
             self.now = at;
             self.handle(event);
         }
-        self.over_rule.sort_by(f64::total_cmp);
-        let place = self.over_rule.len() * 999 / 1000;
-        self.outcome.p999_over_rule = self.over_rule.get(place).copied().unwrap_or(0.0);
+        self.ceiling_ratios.sort_by(f64::total_cmp);
+        let index = self.ceiling_ratios.len() * 999 / 1000;
+        self.outcome.p999_over_rule = self.ceiling_ratios.get(index).copied().unwrap_or(0.0);
         self.outcome.seconds = seconds(end_ms);
         self.outcome.busiest_reports = self.reports.iter().copied().max().unwrap_or(0);
         self.outcome
     }
 
     fn handle(&mut self, event: Event) {
-        if self.is_for_gone(&event) {
+        if self.drop_for_down_sidecar(&event) {
             return;
         }
         match event {
-            Event::Arrive(load) => self.arrive(load),
+            Event::Arrival(load) => self.arrive(load),
             Event::Tick(sidecar) => {
-                self.queue.add(self.now + Millis(TICK_MS), Event::Tick(sidecar));
+                self.queue.add(self.now + Millis(TICK_INTERVAL_MS), Event::Tick(sidecar));
                 self.apply_sidecar(sidecar, admission::Event::Tick);
             }
             Event::ToSidecar { router, id, attempt, sidecar, open } => {
@@ -203,7 +209,7 @@
                 self.apply_router(router, id, event);
             }
             Event::Ended { sidecar, call } => {
-                self.keep(sidecar, call);
+                self.store_context(sidecar, call);
                 let headers = Vec::new();
                 let head = admission::Event::Head { call, status: 200, headers };
                 self.apply_sidecar(sidecar, head);
@@ -218,48 +224,49 @@
                 self.reports[sidecar] += 1;
                 self.apply_sidecar(sidecar, admission::Event::Report { call, report });
             }
-            Event::Lost { router, id, attempt, sent } => {
+            Event::ConnectionFailed { router, id, attempt, sent } => {
                 self.apply_router(
                     router,
                     id,
                     routing::Event::ConnectionFailed { id, attempt, sent },
                 );
             }
-            Event::Vanish => {
-                for place in (0..self.gone.len()).step_by(self.setup.loss.map_or(1, |it| it.every))
+            Event::Outage => {
+                for sidecar in (0..self.down.len())
+                    .step_by(self.setup.outage.map_or(1, |outage| outage.every_nth))
                 {
-                    self.vanish(place);
+                    self.stop_sidecar(sidecar);
                 }
             }
-            Event::Restart(place) => self.restart(place),
-            Event::Return(place) => self.come_back(place),
-            Event::Note { sidecar, note } => {
-                self.apply_sidecar(sidecar, admission::Event::DirectoryUpdate(note));
+            Event::Restart(sidecar) => self.restart(sidecar),
+            Event::Return(sidecar) => self.start_sidecar(sidecar),
+            Event::DirectoryUpdate { sidecar, update } => {
+                self.apply_sidecar(sidecar, admission::Event::DirectoryUpdate(update));
             }
-            Event::List => self.list(),
+            Event::UpdateHosts => self.update_hosts(),
             Event::Pool { sidecar, pool, sum } => {
                 self.apply_sidecar(sidecar, admission::Event::Pool { pool, sum });
             }
         }
     }
 
-    fn arrive(&mut self, place: usize) {
-        let load = self.loads[place].clone();
-        if self.now.0 >= load.until_ms {
+    fn arrive(&mut self, index: usize) {
+        let load = self.loads[index].clone();
+        if self.now.0 >= load.end_ms {
             return;
         }
-        let gap = -(1.0 - self.random.random::<f64>()).ln() / load.rate * 1_000.0;
+        let gap = -(1.0 - self.rng.random::<f64>()).ln() / load.rate * 1_000.0;
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             reason = "a gap is a few seconds"
         )]
         let gap = gap.round() as u64;
-        self.queue.add(self.now + Millis(gap), Event::Arrive(place));
+        self.queue.add(self.now + Millis(gap), Event::Arrival(index));
         self.next_id += 1;
-        let chat = self.random.random_range(0..load.chats);
+        let chat = self.rng.random_range(0..load.chats);
         self.chats.insert(self.next_id, chat << 8 | load.workspace as u64);
-        let ask = Arrival {
+        let arrival = Arrival {
             id: self.next_id,
             request: format!("r{}", self.next_id).into(),
             workspace: format!("workspace-{}", load.workspace).into(),
@@ -269,22 +276,22 @@
             chat: format!("chat-{chat}").into(),
             idempotency_key: None,
             prefixes: Vec::new(),
-            weight: self.random.random_range(load.least..=load.greatest),
+            weight: self.rng.random_range(load.min_weight..=load.max_weight),
             deadline: None,
         };
         self.outcome.asked += 1;
-        let router = self.random.random_range(0..self.routers.len());
-        let id = ask.id;
-        let effects = self.routers[router].apply(routing::Event::Arrival(ask), self.now);
-        self.carry_out(router, id, effects);
+        let router = self.rng.random_range(0..self.routers.len());
+        let id = arrival.id;
+        let effects = self.routers[router].apply(routing::Event::Arrival(arrival), self.now);
+        self.execute(router, id, effects);
     }
 
     fn apply_router(&mut self, router: usize, id: u64, event: routing::Event) {
         let effects = self.routers[router].apply(event, self.now);
-        self.carry_out(router, id, effects);
+        self.execute(router, id, effects);
     }
 
-    fn carry_out(&mut self, router: usize, id: u64, effects: Vec<routing::Effect>) {
+    fn execute(&mut self, router: usize, id: u64, effects: Vec<routing::Effect>) {
         for effect in effects {
             match effect {
                 routing::Effect::Send(attempt) => {
@@ -293,12 +300,13 @@
                     let sidecar = self.by_name[&attempt.upstream];
                     let attempt = attempt.number;
                     let event = Event::ToSidecar { router, id, attempt, sidecar, open };
-                    self.queue.add(self.later(), event);
+                    self.queue.add(self.delivery_time(), event);
                 }
                 routing::Effect::UpdateDirectory { upstream, update, .. } => {
                     self.outcome.notes += 1;
                     let sidecar = self.by_name[&upstream];
-                    self.queue.add(self.later(), Event::Note { sidecar, note: update });
+                    self.queue
+                        .add(self.delivery_time(), Event::DirectoryUpdate { sidecar, update });
                 }
                 routing::Effect::Finish => self.outcome.answered += 1,
                 routing::Effect::Fail(_) | routing::Effect::Abort(_) => self.outcome.refused += 1,
@@ -307,52 +315,52 @@
         }
     }
 
-    fn apply_sidecar(&mut self, place: usize, event: admission::Event) {
-        for effect in self.sidecars[place].apply(event, self.now) {
+    fn apply_sidecar(&mut self, sidecar: usize, event: admission::Event) {
+        for effect in self.sidecars[sidecar].apply(event, self.now) {
             match effect {
                 admission::Effect::Run { call, open } => {
-                    self.look_up(place, call, open.weight);
+                    self.record_lookup(sidecar, call, open.weight);
                     let ms = open.weight * 1_000 / self.setup.tokens_per_second;
                     let at = self.now + Millis(ms.max(1));
-                    self.queue.add(at, Event::Ended { sidecar: place, call });
+                    self.queue.add(at, Event::Ended { sidecar, call });
                 }
-                admission::Effect::Send { call, frame } => self.answer(place, call, frame),
+                admission::Effect::Send { call, frame } => self.answer(sidecar, call, frame),
                 admission::Effect::Finish { call, frame } => {
-                    self.answer(place, call, frame);
-                    self.origins.remove(&(place, call));
+                    self.answer(sidecar, call, frame);
+                    self.origins.remove(&(sidecar, call));
                 }
                 admission::Effect::Report { to, report } => {
-                    let sidecar = self.by_name[&to.name];
+                    let receiver = self.by_name[&to.name];
                     self.count_report(&Frame::Report(report.clone()));
-                    let event = Event::Report { sidecar, from: place, report };
-                    self.queue.add(self.later(), event);
+                    let event = Event::Report { sidecar: receiver, from: sidecar, report };
+                    self.queue.add(self.delivery_time(), event);
                 }
                 admission::Effect::Abort { .. } | admission::Effect::Drained => {}
             }
         }
     }
 
-    fn answer(&mut self, place: usize, call: u64, frame: Frame) {
-        let Some(origin) = self.origins.get(&(place, call)).copied() else {
+    fn answer(&mut self, sidecar: usize, call: u64, frame: Frame) {
+        let Some(origin) = self.origins.get(&(sidecar, call)).copied() else {
             return;
         };
         let Origin { router, id, attempt } = origin;
         if let Frame::Pool(pool) = frame {
             self.count_report(&frame);
-            let sidecar = usize::try_from(id).unwrap_or(0);
+            let reporter = usize::try_from(id).unwrap_or(0);
             let sum = attempt == 1;
-            self.queue.add(self.later(), Event::Pool { sidecar, pool, sum });
+            self.queue.add(self.delivery_time(), Event::Pool { sidecar: reporter, pool, sum });
             return;
         }
-        self.queue.add(self.later(), Event::ToRouter { router, id, attempt, frame });
+        self.queue.add(self.delivery_time(), Event::ToRouter { router, id, attempt, frame });
     }
 
     fn count_report(&mut self, frame: &Frame) {
-        let bytes = wire::encode(frame).map_or(0, |it| it.len());
+        let bytes = wire::encode(frame).map_or(0, |bytes| bytes.len());
         self.outcome.report_bytes += bytes as u64;
     }
 
-    fn later(&self) -> Millis {
+    fn delivery_time(&self) -> Millis {
         self.now + Millis(self.setup.delay_ms)
     }
 }
--- a/components/experiment/src/slopes.rs
+++ b/components/experiment/src/slopes.rs
@@ -1,8 +1,8 @@
-//! What the reducers cost, at several sizes.
+//! Processing time and memory of the state machines, by size.
 //!
-//! Each function measures one thing at one size; a slope is made of several.
-//! Times are of one thread, memory is the heap that a counting allocator of the
-//! calling binary reports through [`Meter`].
+//! Each function measures one operation at one size. Times are those of a single
+//! thread; memory is the heap that the counting allocator of the calling binary
+//! reports through [`Meter`].
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -16,72 +16,72 @@
 
 use crate::{document, hosts};
 
-/// The models of the target.
 const MODELS: usize = 6;
 
-/// The failure domains of the target.
 const DOMAINS: usize = 17;
 
-/// Reads the bytes allocated now.
+/// Returns the number of bytes that are currently allocated.
 pub type Meter = fn() -> usize;
 
-/// One measured point.
+/// The costs at one size.
 #[derive(Clone, Copy, Debug, serde::Serialize)]
 pub struct Point {
-    /// The size that was varied.
+    /// The varied size.
     pub size: usize,
-    /// Microseconds of processor time for one unit of work.
+    /// The time of one operation, in microseconds.
     pub micros: f64,
-    /// Bytes of heap for the whole size.
+    /// The heap memory of all items, in bytes.
     pub bytes: usize,
 }
 
-/// A router that knows `upstreams` upstreams: the time of a whole request, from
-/// its arrival to its recorded decision, and the memory of what it knows.
+/// Measures a router with `upstreams` upstreams: the time of a request from its
+/// arrival to its recorded decision, and the memory of the state.
 ///
 /// # Panics
 ///
-/// Never: the document is right.
+/// Panics if the generated document is invalid, which would be a bug.
 pub fn router_upstreams(upstreams: usize, requests: usize, meter: Meter) -> Point {
     let before = meter();
     let mut state = router(upstreams, 10);
     let bytes = meter().saturating_sub(before);
     let started = Instant::now();
     for id in 0..requests {
-        serve(&mut state, id as u64);
+        complete_request(&mut state, id as u64);
     }
     Point { size: upstreams, micros: micros(started, requests), bytes }
 }
 
-/// A router under `workspaces` workspaces: the time to compile a generation,
-/// and the memory of it.
+/// Measures the compilation of a document with `workspaces` workspaces: its time,
+/// and the memory of the plan.
 ///
 /// # Panics
 ///
-/// Never: the document is right.
+/// Panics if the generated document is invalid, which would be a bug.
 pub fn router_workspaces(workspaces: usize, meter: Meter) -> Point {
     let before = meter();
     let started = Instant::now();
-    let plan = Plan::compile(document(1, workspaces, MODELS)).expect("it is right");
+    let plan = Plan::compile(document(1, workspaces, MODELS)).expect("the document is valid");
     let micros = micros(started, 1);
     let bytes = meter().saturating_sub(before);
     drop(plan);
     Point { size: workspaces, micros, bytes }
 }
 
-/// A router with `requests` in flight: the memory of them.
+/// Measures a router with `requests` in flight: the time of an arrival, and the
+/// memory of the requests.
 pub fn router_requests(requests: usize, meter: Meter) -> Point {
     let mut state = router(60, 10);
     let before = meter();
     let started = Instant::now();
     for id in 0..requests {
-        state.apply(Event::Arrival(ask(id as u64)), Millis(1));
+        state.apply(Event::Arrival(arrival(id as u64)), Millis(1));
     }
     let micros = micros(started, requests);
     Point { size: requests, micros, bytes: meter().saturating_sub(before) }
 }
 
-/// A router whose list of `upstreams` hosts comes anew.
+/// Measures the time in which a router applies an unchanged list of `upstreams`
+/// hosts.
 pub fn router_hosts(upstreams: usize, rounds: usize) -> Point {
     let mut state = router(upstreams, 10);
     let list = hosts(upstreams, MODELS, DOMAINS);
@@ -92,10 +92,9 @@
     Point { size: upstreams, micros: micros(started, rounds), bytes: 0 }
 }
 
-/// A sidecar with `calls` in flight: the time of a whole call of 256 tokens,
-/// and the memory of the calls.
+/// Measures a sidecar with `calls` in flight: the time of a call of 256 tokens, and
+/// the memory of the calls.
 pub fn sidecar_calls(calls: usize, meter: Meter) -> Point {
-    /// The tokens of each answer.
     const TOKENS: usize = 256;
     let mut state = sidecar(calls, 140);
     let before = meter();
@@ -116,14 +115,15 @@
     Point { size: calls, micros: micros(started, calls), bytes }
 }
 
-/// A sidecar that remembers `keys` idempotency keys.
+/// Measures a sidecar that stores `keys` idempotency keys: the time of a keyed call,
+/// and the memory of the keys.
 pub fn sidecar_keys(keys: usize, meter: Meter) -> Point {
     let mut state = sidecar(keys, 3);
     let before = meter();
     let started = Instant::now();
     for call in 0..keys as u64 {
-        let once = Some(format!("courier/sk1.pickup-1.1a236c6ad5d.{call:032x}").into());
-        let open = Open { idempotency_key: once, incarnation: 1, ..open(call) };
+        let idempotency_key = Some(format!("courier/sk1.pickup-1.1a236c6ad5d.{call:032x}").into());
+        let open = Open { idempotency_key, incarnation: 1, ..open(call) };
         state.apply(admission::Event::Open { call, open }, Millis(1));
         let headers = Vec::new();
         state.apply(admission::Event::Head { call, status: 200, headers }, Millis(2));
@@ -133,17 +133,17 @@
     Point { size: keys, micros, bytes: meter().saturating_sub(before) }
 }
 
-/// The aggregator of a pool of `members`: the time of one report and the
-/// memory of the members.
+/// Measures the aggregator of a pool of `members`: the time of a load report, and
+/// the memory of the members.
 pub fn aggregator_members(members: usize, rounds: usize, meter: Meter) -> Point {
     let before = meter();
     let mut state = sidecar(64, members);
     let bytes = meter().saturating_sub(before);
     let reports: Vec<_> = (0..members)
-        .map(|place| Report {
-            name: format!("engine-{place}").into(),
+        .map(|index| Report {
+            name: format!("engine-{index}").into(),
             incarnation: 1,
-            load: place as u64,
+            load: index as u64,
             members: 1,
             sum: false,
         })
@@ -156,11 +156,11 @@
     Point { size: members, micros: micros(started, rounds), bytes }
 }
 
-/// The sizes of the control frames, in bytes with their length prefix.
+/// Returns the sizes of the control frames in bytes, with their length prefix.
 ///
 /// # Panics
 ///
-/// Never: the frames can be encoded.
+/// Panics if a frame can't be encoded, which would be a bug.
 pub fn frames() -> Vec<(&'static str, usize)> {
     let status = Status { incarnation: 1_796_215_359_116, load: 40_000, ..Status::default() };
     let report = Report {
@@ -171,7 +171,7 @@
         sum: false,
     };
     let pool = placement::Pool { load: 5_000_000, members: 140 };
-    let refused = wire::Refused {
+    let refusal = wire::Refused {
         kind: errors::Kind::OverBound,
         retry_after_ms: 250,
         hints: Vec::new(),
@@ -181,21 +181,21 @@
         ("report", Frame::Report(report)),
         ("pool", Frame::Pool(pool)),
         ("admitted", Frame::Admitted(Admitted { status })),
-        ("refused", Frame::Refused(refused)),
+        ("refused", Frame::Refused(refusal)),
         ("end", Frame::End(End { attempt: 1, chunks: 256, bytes: 40_000, status })),
         ("welcome", Frame::Welcome(Welcome { name: "engine-4711".into(), status })),
     ];
-    let size = |frame: &Frame| wire::encode(frame).expect("it can be encoded").len();
+    let size = |frame: &Frame| wire::encode(frame).expect("the frame can be encoded").len();
     frames.iter().map(|(name, frame)| (*name, size(frame))).collect()
 }
 
 fn router(upstreams: usize, workspaces: usize) -> routing::State {
     let settings = routing::Settings { decisions: 0, ..Default::default() };
     let mut state = routing::State::new(settings, 1);
-    let plan = Plan::compile(document(1, workspaces, MODELS)).expect("it is right");
+    let plan = Plan::compile(document(1, workspaces, MODELS)).expect("the document is valid");
     state.apply(Event::Configure(Arc::new(plan)), Millis::ZERO);
     let list = hosts(upstreams, MODELS, DOMAINS);
-    let names: Vec<_> = list.iter().map(|it| it.name.clone()).collect();
+    let names: Vec<_> = list.iter().map(|host| host.name.clone()).collect();
     state.apply(Event::Hosts(list), Millis::ZERO);
     for name in names {
         let status = Status { incarnation: 1, ..Status::default() };
@@ -204,7 +204,7 @@
     state
 }
 
-fn ask(id: u64) -> Arrival {
+fn arrival(id: u64) -> Arrival {
     Arrival {
         id,
         request: format!("entry-17-1a236c6ad5d-{id:x}").into(),
@@ -220,9 +220,9 @@
     }
 }
 
-/// A whole request of one chunk.
-fn serve(state: &mut routing::State, id: u64) {
-    state.apply(Event::Arrival(ask(id)), Millis(id));
+/// Applies a request that is answered without chunks.
+fn complete_request(state: &mut routing::State, id: u64) {
+    state.apply(Event::Arrival(arrival(id)), Millis(id));
     let status = Status { incarnation: 1, ..Status::default() };
     let frames = [
         Frame::Admitted(Admitted { status }),
@@ -240,7 +240,7 @@
     let settings = admission::Settings { bound, slots, keys: usize::MAX, ..Default::default() };
     let peers: Vec<_> = hosts(members, 1, DOMAINS)
         .into_iter()
-        .map(|it| Peer { name: it.name, address: it.address })
+        .map(|host| Peer { name: host.name, address: host.address })
         .collect();
     let own = Peer { name: "engine-0".into(), address: "10.0.0.0:7001".into() };
     let mut state = admission::State::new(settings, own, 1);
--- a/components/experiment/src/surge.rs
+++ b/components/experiment/src/surge.rs
@@ -1,35 +1,34 @@
-//! One workspace surges tenfold, and engines vanish: does the load bound hold?
+//! The load bound while one workspace sends ten times its load and engines fail.
 
 use placement::Bound;
 
-use crate::{Load, Loss, Outcome, Setup, World};
+use crate::{Load, Outage, Outcome, Setup, Simulation};
 
-/// Engines of one model, as many as each user has today.
 const ENGINES: usize = 9;
 
-/// Engines of one model in one region at the target.
-const TARGET: usize = 142;
+/// The number of engines of the largest pool.
+const MAX_ENGINES: usize = 142;
 
-/// The end of the run, in milliseconds: all loads have ended before.
+/// The duration of a run, in milliseconds; all loads end before.
 const END_MS: u64 = 100_000;
 
-/// The bound's floor: more than four times the greatest weight.
+/// The floor of the bound: more than four times the maximum weight of a request.
 const FLOOR: u64 = 4_000;
 
-/// A third of the engines vanish in the middle of the surge.
-const LOSS: Loss = Loss { at_ms: 30_000, every: 3, list_lag_ms: 2_000 };
+/// A third of the engines fail in the middle of the surge.
+const OUTAGE: Outage = Outage { at_ms: 30_000, every_nth: 3, hosts_lag_ms: 2_000 };
 
-/// What the requests are like.
+/// The rate and duration of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shape {
-    /// Many short ones: 8 a second and engine, of 2.5 s.
+    /// Many short requests: 8 per second and engine, of 2.5 s each.
     Dense,
-    /// Those of the target: 1.84 a second and engine, at 31 ms a token.
+    /// Fewer long requests: 1.84 per second and engine, at 31 ms per token.
     Target,
 }
 
 impl Shape {
-    /// Requests a second of one of nine workspaces, for nine engines.
+    /// Returns the requests per second of one of nine workspaces, for nine engines.
     fn rate(self) -> f64 {
         match self {
             Self::Dense => 8.0,
@@ -45,21 +44,20 @@
     }
 }
 
-/// What is varied between runs.
+/// The parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Variant {
-    /// The seed of everything that is drawn.
+    /// The random seed.
     pub seed: u64,
-    /// Engines; the load grows with them.
+    /// The number of engines; the load is proportional to it.
     pub engines: usize,
-    /// What the requests are like.
+    /// The rate and duration of requests.
     pub shape: Shape,
-    /// Whether a third of the engines vanish in the middle of the surge.
-    pub loss: bool,
-    /// The bound's margin.
+    /// Whether a third of the engines fail in the middle of the surge.
+    pub outage: bool,
+    /// The margin of the bound.
     pub margin: f64,
-    /// How long a large change of load may wait for its report, in
-    /// milliseconds.
+    /// The maximum delay of the report of a large load change, in milliseconds.
     pub report_soon_ms: u64,
 }
 
@@ -69,15 +67,15 @@
             seed: 1,
             engines: ENGINES,
             shape: Shape::Dense,
-            loss: false,
+            outage: false,
             margin: 0.1,
             report_soon_ms: 50,
         }
     }
 }
 
-/// Ten workspaces for a minute; for 20 s of it, one sends eleven times as much
-/// in six chats, so that hashing alone would pile it up.
+/// Simulates nine workspaces for a minute. For 20 s, one sends eleven times its
+/// usual load in six chats, which hashing alone would place on few engines.
 pub fn run(variant: Variant) -> Outcome {
     let bound = Bound { multiple: 1.25, floor: FLOOR, margin: variant.margin, extra: 0 };
     let setup = Setup {
@@ -86,7 +84,7 @@
         sidecars: variant.engines,
         cache_tokens: 0,
         churn: None,
-        loss: variant.loss.then_some(LOSS),
+        outage: variant.outage.then_some(OUTAGE),
         delay_ms: 1,
         tokens_per_second: variant.shape.tokens_per_second(),
         routing: routing::Settings { bound, ..Default::default() },
@@ -97,28 +95,28 @@
             ..Default::default()
         },
     };
-    World::new(setup, loads(variant)).run(END_MS)
+    Simulation::new(setup, loads(variant)).run(END_MS)
 }
 
 #[expect(clippy::cast_precision_loss, reason = "a few hundred engines")]
 fn loads(variant: Variant) -> Vec<Load> {
     let rate = variant.shape.rate() * variant.engines as f64 / ENGINES as f64;
-    let calm = |workspace| Load {
+    let base = |workspace| Load {
         workspace,
-        from_ms: 0,
-        until_ms: 60_000,
+        start_ms: 0,
+        end_ms: 60_000,
         rate,
         chats: 400,
-        least: 100,
-        greatest: 900,
+        min_weight: 100,
+        max_weight: 900,
     };
-    let mut loads: Vec<_> = (0..9).map(calm).collect();
-    loads.push(Load { from_ms: 20_000, until_ms: 40_000, rate: 10.0 * rate, chats: 6, ..calm(0) });
+    let mut loads: Vec<_> = (0..9).map(base).collect();
+    loads.push(Load { start_ms: 20_000, end_ms: 40_000, rate: 10.0 * rate, chats: 6, ..base(0) });
     loads
 }
 
-/// The worst over `seeds` for each margin and delay of reports, then for larger
-/// pools and losses, as a table in Markdown.
+/// Returns a Markdown table of the worst results over `seeds`: for each margin and
+/// report delay, then for larger pools with and without an outage.
 pub fn table(seeds: u64) -> String {
     let mut text = String::from(
         "| engines | requests | a third vanishes | margin | large change reported after | worst load / (c x \
@@ -130,10 +128,10 @@
             text.push_str(&row(Variant { margin, report_soon_ms, ..Variant::default() }, seeds));
         }
     }
-    for engines in [ENGINES, TARGET / 2, TARGET] {
-        for loss in [false, true] {
+    for engines in [ENGINES, MAX_ENGINES / 2, MAX_ENGINES] {
+        for outage in [false, true] {
             for shape in [Shape::Dense, Shape::Target] {
-                let variant = Variant { engines, shape, loss, ..Variant::default() };
+                let variant = Variant { engines, shape, outage, ..Variant::default() };
                 text.push_str(&row(variant, seeds / 2));
             }
         }
@@ -144,19 +142,19 @@
 #[expect(clippy::cast_precision_loss, reason = "counts of a short run")]
 fn row(variant: Variant, seeds: u64) -> String {
     let runs: Vec<_> = (1..=seeds).map(|seed| run(Variant { seed, ..variant })).collect();
-    let worst = runs.iter().map(|it| it.worst_over_rule).fold(0.0, f64::max);
-    let p999 = runs.iter().map(|it| it.p999_over_rule).fold(0.0, f64::max);
-    let asked: u64 = runs.iter().map(|it| it.asked).sum();
-    let refused: u64 = runs.iter().map(|it| it.refused).sum();
-    let attempts: u64 = runs.iter().map(|it| it.attempts).sum();
-    let bytes: u64 = runs.iter().map(|it| it.report_bytes).sum();
-    let busiest = runs.iter().map(|it| it.busiest_reports).max().unwrap_or(0);
-    let seconds: f64 = runs.iter().map(|it| it.seconds).sum();
+    let worst = runs.iter().map(|run| run.worst_over_rule).fold(0.0, f64::max);
+    let p999 = runs.iter().map(|run| run.p999_over_rule).fold(0.0, f64::max);
+    let asked: u64 = runs.iter().map(|run| run.asked).sum();
+    let refused: u64 = runs.iter().map(|run| run.refused).sum();
+    let attempts: u64 = runs.iter().map(|run| run.attempts).sum();
+    let bytes: u64 = runs.iter().map(|run| run.report_bytes).sum();
+    let busiest = runs.iter().map(|run| run.busiest_reports).max().unwrap_or(0);
+    let seconds: f64 = runs.iter().map(|run| run.seconds).sum();
     format!(
         "| {} | {:?} | {} | {} | {} ms | {worst:.3} | {p999:.3} | {:.2}% | {:.3} | {:.0} | {:.1} |\n",
         variant.engines,
         variant.shape,
-        if variant.loss { "yes" } else { "no" },
+        if variant.outage { "yes" } else { "no" },
         variant.margin,
         variant.report_soon_ms,
         100.0 * refused as f64 / asked as f64,
--- a/components/experiment/tests/bound.rs
+++ b/components/experiment/tests/bound.rs
@@ -1,4 +1,4 @@
-//! The load bound of a pool while one workspace surges tenfold.
+//! The load bound of a pool while one workspace sends ten times its load.
 
 use experiment::surge::{Variant, run};
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn without_a_margin_the_lag_of_the_mean_shows() {
+fn without_a_margin_the_bound_is_exceeded() {
     let outcome = run(Variant { margin: 0.0, ..Variant::default() });
     assert!(outcome.worst_over_rule > 1.0, "{outcome:?}");
 }
--- a/components/experiment/tests/placement.rs
+++ b/components/experiment/tests/placement.rs
@@ -1,24 +1,26 @@
-//! Returning chats find their context again.
+//! Cache hits of returning chats under the placement policies.
 
-use experiment::placement::{Scene, run};
+use experiment::placement::{Scenario, run};
 use routing::Policy;
 
-fn found(policy: Policy, scene: Scene) -> u64 {
+fn found_percent(policy: Policy, scene: Scenario) -> u64 {
     let outcome = run(policy, scene, 0.1, 1);
     100 * outcome.found / outcome.returning
 }
 
 #[test]
-fn the_directory_finds_chats_that_had_to_go_elsewhere() {
-    let (ranked, directory) =
-        (found(Policy::Ranked, Scene::Calm), found(Policy::Directory, Scene::Calm));
+fn directory_policy_finds_more_contexts_than_ranking() {
+    let (ranked, directory) = (
+        found_percent(Policy::Ranked, Scenario::Calm),
+        found_percent(Policy::Directory, Scenario::Calm),
+    );
     assert!(directory >= ranked + 8, "{directory}% with the directory, {ranked}% without");
     assert!(directory >= 78, "{directory}%");
 }
 
 #[test]
-fn restarts_leave_most_chats_where_they_were() {
-    let random = found(Policy::Random, Scene::Churn);
-    let directory = found(Policy::Directory, Scene::Churn);
+fn directory_policy_keeps_most_contexts_during_restarts() {
+    let random = found_percent(Policy::Random, Scenario::Churn);
+    let directory = found_percent(Policy::Directory, Scenario::Churn);
     assert!(directory >= 55 && directory >= random * 3, "{directory}%, at random {random}%");
 }
