--- a/benches/bound.rs
+++ b/benches/bound.rs
@@ -1,6 +1,6 @@
 //! The load bound under a tenfold surge: `cargo bench --bench bound`.
 
-/// The seeds of each row.
+/// The number of seeds for each row.
 const SEEDS: u64 = 8;
 
 fn main() {
--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -1,6 +1,6 @@
-//! Where chats are placed: `cargo bench --bench placement`.
+//! Cache hits by placement policy: `cargo bench --bench placement`.
 
-/// The seeds of each row.
+/// The number of seeds for each row.
 const SEEDS: u64 = 3;
 
 fn main() {
--- a/components/experiment/src/overload/fleet.rs
+++ b/components/experiment/src/overload/fleet.rs
@@ -2,7 +2,7 @@
 
 mod callers;
 mod engines;
-mod hints;
+mod exchange;
 mod names;
 
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 use rand_chacha::ChaCha8Rng;
 use routing::{Effect, Event, Mechanisms, State};
 
-use self::hints::{DELAYS_INTERVAL, LOADS_INTERVAL};
+use self::exchange::{DELAYS_INTERVAL, LOADS_INTERVAL};
 use self::names::{host, settings};
 use super::engine::{Engine, Owner, Request, SLOTS};
 use super::kind::{Kind, document};
