--- a/tests/end_to_end/failures.rs
+++ b/tests/end_to_end/failures.rs
@@ -5,7 +5,7 @@
 use load::{Caller, Error, retry};
 use nix::sys::signal::Signal;
 use serde_json::json;
-use standin::{EngineFault, EngineSettings, StoreFault};
+use standin::{EngineFault, EngineSettings};
 use tokio::task::JoinSet;
 
 use crate::fleet::{Fleet, Layout, MODEL, chat, expected_answer, until};
@@ -220,7 +220,7 @@
 async fn a_store_outage_affects_only_caller_chosen_keys() {
     let fleet = Fleet::start(Layout { engines: 0, ..Layout::default() }).await;
     let caller = fleet.call_caller(0).await;
-    fleet.store.set_fault(StoreFault::Down);
+    fleet.store.set_fault(standin::StoreFault::Down);
     let key = caller.key("pickup").await.expect("new keys need no store");
     caller.call("pickup", "/a", Some(&key), "{}").await.expect("the call is answered");
     let error = caller
@@ -228,13 +228,13 @@
         .await
         .expect_err("the owner of the key is unknown");
     assert_eq!(error.outcome(), "unknown");
-    fleet.store.set_fault(StoreFault::DropAnswers);
+    fleet.store.set_fault(standin::StoreFault::DropAnswers);
     let error = caller
         .call("pickup", "/b", Some("own"), "{}")
         .await
         .expect_err("the owner of the key is unknown");
     assert_eq!(error.outcome(), "unknown");
-    fleet.store.set_fault(StoreFault::None);
+    fleet.store.set_fault(standin::StoreFault::None);
     caller.call("pickup", "/b", Some("own"), "{}").await.expect("the call is answered");
     assert_eq!(fleet.runs()["own"], 1);
     assert_eq!(fleet.runs()[&key], 1);
@@ -344,14 +344,14 @@
     let mut fleet = Fleet::start(Layout { engines: 0, ..slow() }).await;
     let calls = confirm_many(&fleet).await;
     until(|| async { fleet.runs().len() > REQUESTS / 4 }).await;
-    fleet.store.set_fault(StoreFault::Down);
+    fleet.store.set_fault(standin::StoreFault::Down);
     fleet.sidecars.get_mut("pickup-3").expect("the process is running").kill();
     check_told(&fleet, &collect(calls).await);
     fleet.start_sidecar("pickup-3");
     fleet.wait_until_met().await;
     let during = collect(confirm_many(&fleet).await).await;
     assert!(during.iter().all(|(_, result)| result == &Err("unknown".to_owned())), "{during:?}");
-    fleet.store.set_fault(StoreFault::None);
+    fleet.store.set_fault(standin::StoreFault::None);
     let after = collect(confirm_many(&fleet).await).await;
     check_told(&fleet, &after);
     assert!(after.iter().any(|(_, result)| result.is_ok()));
