--- a/components/experiment/src/overload/engine.rs
+++ b/components/experiment/src/overload/engine.rs
@@ -17,7 +17,7 @@
 /// The number of tokens in an event.
 const TOKENS_PER_EVENT: f64 = 7.0;
 
-/// The time of a token: a fixed part, and a part for each request in the batch.
+/// The time to generate a token: a fixed part, and a part for each request in the batch.
 const TOKEN_MS: f64 = 3.0;
 const TOKEN_MS_PER_REQUEST: f64 = 0.25;
 
@@ -28,7 +28,7 @@
 /// The capacity of the cache, in prefixes.
 const MAX_PREFIXES: usize = 48;
 
-/// The prefixes by which a running request reduces the cache if memory is short.
+/// The number of prefixes by which a running request reduces the cache if memory is short.
 const PREFIXES_PER_REQUEST: usize = 2;
 
 /// A request at an engine.
--- a/components/experiment/src/overload/fleet.rs
+++ b/components/experiment/src/overload/fleet.rs
@@ -40,7 +40,7 @@
     Deliver { engine: usize, request: Request },
     /// The next step of an engine.
     Step(usize),
-    /// A router receives a signal of an engine.
+    /// A router receives a signal from an engine.
     Answer { owner: Owner, signal: Signal },
     /// An attempt may have exceeded its silence timeout.
     CheckSilence { owner: Owner, timeout: Millis },
@@ -76,7 +76,7 @@
     is_retry: bool,
 }
 
-/// An open request.
+/// A request in progress.
 #[derive(Debug)]
 struct Open {
     caller: Caller,
--- a/components/experiment/src/overload/kind.rs
+++ b/components/experiment/src/overload/kind.rs
@@ -12,7 +12,7 @@
     pub priority: i32,
     /// The target for the time to the first event.
     pub objective: Millis,
-    /// The timeout of the caller.
+    /// The time after which the caller cancels the request.
     pub deadline: Millis,
     /// The length of the shared prefix.
     pub prefix_tokens: u64,
--- a/components/experiment/src/placement.rs
+++ b/components/experiment/src/placement.rs
@@ -71,8 +71,8 @@
 /// table.
 pub fn table(seeds: u64) -> String {
     let mut text = String::from(
-        "| margin | scene | policy | context found | of what could be found under the bound | worst load / (c x true mean) | \
-         refused | attempts per request | notes per request |\n|---|---|---|---|---|---|---|---|---|\n",
+        "| margin | scene | policy | context hits | of the possible hits under the bound | worst load / (c x true mean) | \
+         refused | attempts per request | directory updates per request |\n|---|---|---|---|---|---|---|---|---|\n",
     );
     for margin in [0.1, 0.0] {
         for scenario in [Scenario::Calm, Scenario::Surge, Scenario::Churn] {
--- a/components/experiment/src/surge.rs
+++ b/components/experiment/src/surge.rs
@@ -119,8 +119,8 @@
 /// report delay, then for larger pools with and without an outage.
 pub fn table(seeds: u64) -> String {
     let mut text = String::from(
-        "| engines | requests | a third vanishes | margin | large change reported after | worst load / (c x \
-         true mean) | 999 in 1,000 | refused of asked | attempts per request | report bytes per \
+        "| engines | requests | a third fails | margin | large change reported after | worst load / (c x \
+         true mean) | 99.9th percentile | refused requests | attempts per request | report bytes per \
          sidecar and second | reports/s at the busiest |\n|---|---|---|---|---|---|---|---|---|---|---|\n",
     );
     for margin in [0.0, 0.05, 0.1] {
