--- a/tests/platform/caller.rs
+++ b/tests/platform/caller.rs
@@ -1,26 +1,26 @@
-//! A caller that sees every byte of its connection.
+//! An HTTP/1.1 client that exposes how an answer was framed.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// How long an answer may take at most.
+/// Read timeout of a connection.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An answer, whole or not.
+/// An answer, complete or cut off.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     pub status: u16,
     pub headers: BTreeMap<String, String>,
     pub body: String,
-    /// Whether the body came to the end that its framing says.
+    /// Whether the body reached the end given by its framing.
     pub whole: bool,
-    /// What came after the part of the body that could be read.
-    pub surplus: String,
+    /// Bytes after the last valid chunk.
+    pub trailing: String,
 }
 
-/// A connection.
+/// A client connection.
 #[derive(Debug)]
 pub struct Caller {
     reader: BufReader<TcpStream>,
@@ -33,38 +33,43 @@
         Self { reader: BufReader::new(stream) }
     }
 
-    /// The same for a router that may not listen, within `limit` for each answer.
+    /// Connects with the read timeout `limit`; `None` if the router does not listen.
     pub fn try_connect(address: &str, limit: Duration) -> Option<Self> {
         let stream = TcpStream::connect(address).ok()?;
         stream.set_read_timeout(Some(limit)).ok()?;
         Some(Self { reader: BufReader::new(stream) })
     }
 
-    /// Sends a request to a router that may be gone.
-    pub fn try_ask(&mut self, line: &str, headers: &[(&str, &str)], body: &str) -> Option<Answer> {
-        let text = write(line, headers, body);
+    /// Like [`Caller::request`], but returns `None` if the request can't be sent.
+    pub fn try_request(
+        &mut self,
+        line: &str,
+        headers: &[(&str, &str)],
+        body: &str,
+    ) -> Option<Answer> {
+        let text = encode_request(line, headers, body);
         self.reader.get_mut().write_all(text.as_bytes()).ok()?;
-        self.answer()
+        self.read_answer()
     }
 
-    /// Sends raw text.
-    pub fn send(&mut self, text: &str) {
+    /// Sends bytes unchanged.
+    pub fn send_raw(&mut self, text: &str) {
         self.reader.get_mut().write_all(text.as_bytes()).expect("the router reads");
     }
 
-    /// Sends a request with these header lines and returns the answer.
-    pub fn ask(&mut self, line: &str, headers: &[(&str, &str)], body: &str) -> Option<Answer> {
-        self.request(line, headers, body);
-        self.answer()
+    /// Sends a request and reads its answer.
+    pub fn request(&mut self, line: &str, headers: &[(&str, &str)], body: &str) -> Option<Answer> {
+        self.send(line, headers, body);
+        self.read_answer()
     }
 
-    /// Sends a request.
-    pub fn request(&mut self, line: &str, headers: &[(&str, &str)], body: &str) {
-        self.send(&write(line, headers, body));
+    /// Sends a request without reading the answer.
+    pub fn send(&mut self, line: &str, headers: &[(&str, &str)], body: &str) {
+        self.send_raw(&encode_request(line, headers, body));
     }
 
-    /// The next answer; `None` if the connection ends before it.
-    pub fn answer(&mut self) -> Option<Answer> {
+    /// Reads the next answer; `None` if the connection ends before its body.
+    pub fn read_answer(&mut self) -> Option<Answer> {
         let mut line = String::new();
         if self.reader.read_line(&mut line).ok()? == 0 {
             return None;
@@ -72,28 +77,28 @@
         let status = line.split_whitespace().nth(1)?.parse().ok()?;
         let headers = crate::standin::read_headers(&mut self.reader)?;
         let mut answer =
-            Answer { status, headers, body: String::new(), whole: false, surplus: String::new() };
-        match answer.headers.get("content-length").and_then(|it| it.parse::<usize>().ok()) {
+            Answer { status, headers, body: String::new(), whole: false, trailing: String::new() };
+        match answer.headers.get("content-length").and_then(|value| value.parse::<usize>().ok()) {
             Some(length) => {
                 let mut body = vec![0; length];
                 answer.whole = self.reader.read_exact(&mut body).is_ok();
                 answer.body = String::from_utf8_lossy(&body).into_owned();
             }
-            None => self.chunks(&mut answer),
+            None => self.read_chunks(&mut answer),
         }
         Some(answer)
     }
 
-    /// Reads a chunked body as far as it is one.
-    fn chunks(&mut self, answer: &mut Answer) {
+    /// Reads a chunked body up to its end or the first invalid chunk.
+    fn read_chunks(&mut self, answer: &mut Answer) {
         loop {
             let mut line = String::new();
             if self.reader.read_line(&mut line).unwrap_or(0) == 0 {
                 return;
             }
             let Ok(size) = usize::from_str_radix(line.trim_end(), 16) else {
-                answer.surplus = line;
-                let _ = self.reader.read_to_string(&mut answer.surplus);
+                answer.trailing = line;
+                let _ = self.reader.read_to_string(&mut answer.trailing);
                 return;
             };
             let mut chunk = vec![0; size + 2];
@@ -109,8 +114,8 @@
     }
 }
 
-/// A request as it goes over the connection.
-fn write(line: &str, headers: &[(&str, &str)], body: &str) -> String {
+/// Formats a request as HTTP/1.1.
+fn encode_request(line: &str, headers: &[(&str, &str)], body: &str) -> String {
     let mut text = format!("{line} HTTP/1.1\r\n");
     for (name, value) in headers {
         text += &[name, ": ", value, "\r\n"].concat();
--- a/tests/platform/evacuation.rs
+++ b/tests/platform/evacuation.rs
@@ -1,10 +1,10 @@
-//! Failure domains that are left, upstreams that are cold, and the regions of work.
+//! Evacuated failure domains, cold upstreams and allowed regions.
 
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
 
-use crate::router::{Router, configuration, own_host, pair};
+use crate::router::{Router, configuration, plain_pair, unused_host};
 use crate::standin::Upstream;
 
 /// The entry of an upstream in failure domain `zone`.
@@ -14,125 +14,127 @@
     entry
 }
 
-/// Two upstreams in two failure domains, and their router.
+/// Starts a router with an upstream in each of two failure domains.
 fn two_domains() -> (Router, Upstream, Upstream) {
-    let [left, stays] = pair();
-    let router = Router::start_bare(&own_host(), |store| {
+    let [evacuated, other] = plain_pair();
+    let router = Router::start_unready(&unused_host(), |store| {
         store.put("op/config", &configuration(1));
-        store.put(&left.key(), &entry_in(&left, "zone-a"));
-        store.put(&stays.key(), &entry_in(&stays, "zone-b"));
+        store.put(&evacuated.key(), &entry_in(&evacuated, "zone-a"));
+        store.put(&other.key(), &entry_in(&other, "zone-b"));
     });
-    router.until("ready", || router.is_ready());
-    (router, left, stays)
+    router.wait_until("ready", || router.is_ready());
+    (router, evacuated, other)
 }
 
-/// How many of ten requests go to `upstream`.
-fn go_to(router: &Router, upstream: &Upstream) -> usize {
+/// The number of ten requests that go to `upstream`.
+fn send_ten(router: &Router, upstream: &Upstream) -> usize {
     let before = upstream.requests().len();
     for number in 0..10 {
         let id = format!("id-{before}-{number}");
-        let _ = router.ask("GET /safe/x", &[("Attempt-Identifier", &id)], "");
+        let _ = router.request("GET /safe/x", &[("Attempt-Identifier", &id)], "");
     }
     upstream.requests().len() - before
 }
 
 #[test]
-fn a_domain_that_is_left_gets_nothing_until_it_is_taken_back() {
-    let (router, left, stays) = two_domains();
-    assert!(go_to(&router, &left) > 0);
+fn sends_nothing_to_an_evacuated_domain_until_it_is_restored() {
+    let (router, evacuated, other) = two_domains();
+    assert!(send_ten(&router, &evacuated) > 0);
     router.store.put("op/evacuate/zone-a", &json!({}));
-    router.until("left", || router.has_logged("failure domain evacuated"));
-    assert_eq!((go_to(&router, &left), go_to(&router, &stays)), (0, 10));
+    router.wait_until("logging the evacuation", || router.has_logged("failure domain evacuated"));
+    assert_eq!((send_ten(&router, &evacuated), send_ten(&router, &other)), (0, 10));
     assert!(router.page("/status").contains(r#""evacuated":["zone-a"]"#));
     assert!(router.page("/metrics").contains(r#"silverstack_beliefs_total{kind="domain_left"} 1"#));
     router.store.remove("op/evacuate/zone-a");
-    router.until("taken back", || go_to(&router, &left) > 0);
+    router.wait_until("using the restored domain", || send_ten(&router, &evacuated) > 0);
     assert!(router.has_logged("failure domain restored"));
 }
 
 #[test]
-fn where_no_other_domain_is_left_requests_are_refused_at_once() {
-    let (router, left, stays) = two_domains();
+fn refuses_at_once_when_every_domain_is_evacuated() {
+    let (router, evacuated, other) = two_domains();
     router.store.put("op/evacuate/zone-a", &json!({}));
     router.store.put("op/evacuate/zone-b", &json!({}));
-    router.until("refused", || router.ask("GET /safe/x", &[], "").unwrap().status == 503);
-    let before = left.requests().len() + stays.requests().len();
+    router.wait_until("refusing", || router.request("GET /safe/x", &[], "").unwrap().status == 503);
+    let before = evacuated.requests().len() + other.requests().len();
     let begun = Instant::now();
-    let answer = router.ask("GET /safe/x", &[], "").unwrap();
+    let answer = router.request("GET /safe/x", &[], "").unwrap();
     assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
     assert_eq!(answer.headers["retry-after"], "1.500");
-    assert_eq!(left.requests().len() + stays.requests().len(), before);
+    assert_eq!(evacuated.requests().len() + other.requests().len(), before);
 }
 
 #[test]
-fn a_router_that_starts_while_a_domain_is_left_sends_nothing_there() {
-    const REMEMBERED: &str = "silverstack/upstreams";
-    let (router, left, stays) = two_domains();
-    router.until("remembered", || router.store.holds(REMEMBERED));
-    let remembered = router.store.text(REMEMBERED).expect("a text");
+fn a_new_router_sends_nothing_to_a_domain_evacuated_before_its_start() {
+    const SAVED_UPSTREAMS: &str = "silverstack/upstreams";
+    let (router, evacuated, other) = two_domains();
+    router.wait_until("saving its upstreams", || router.store.contains_key(SAVED_UPSTREAMS));
+    let saved = router.store.text(SAVED_UPSTREAMS).expect("a text");
     drop(router);
-    // The entry of the one that was left has lapsed; it is remembered.
-    let router = Router::start_bare(&own_host(), |store| {
+    // The evacuated upstream has no entry any more and comes from the saved ones.
+    let router = Router::start_unready(&unused_host(), |store| {
         store.put("op/config", &configuration(1));
-        store.put(&stays.key(), &entry_in(&stays, "zone-b"));
-        store.put_text(REMEMBERED, &remembered);
+        store.put(&other.key(), &entry_in(&other, "zone-b"));
+        store.put_text(SAVED_UPSTREAMS, &saved);
         store.put("op/evacuate/zone-a", &json!({}));
     });
-    router.until("ready", || router.is_ready());
-    assert_eq!(go_to(&router, &left), 0);
+    router.wait_until("ready", || router.is_ready());
+    assert_eq!(send_ten(&router, &evacuated), 0);
 }
 
 #[test]
-fn looks_that_ask_for_less_see_what_is_left() {
-    let (router, left, _stays) = two_domains();
-    router.shorten_looks();
+fn reduced_polls_see_evacuations() {
+    let (router, evacuated, _other) = two_domains();
+    router.reduce_polls();
     router.store.put("op/evacuate/zone-a", &json!({}));
-    router.until("left", || router.has_logged("failure domain evacuated"));
+    router.wait_until("logging the evacuation", || router.has_logged("failure domain evacuated"));
     assert!(!router.has_logged("store polls are complete again"));
-    assert_eq!(go_to(&router, &left), 0);
+    assert_eq!(send_ten(&router, &evacuated), 0);
     router.store.remove("op/evacuate/zone-a");
-    router.until("taken back", || router.has_logged("failure domain restored"));
+    router.wait_until("using the restored domain", || router.has_logged("failure domain restored"));
 }
 
 #[test]
-fn a_cold_upstream_gets_no_more_than_it_bears() {
-    let [cold, warm] = pair();
+fn limits_the_rate_of_requests_to_a_cold_upstream() {
+    let [cold, warm] = plain_pair();
     let mut limited = configuration(1);
     limited["services"][0]["coldS"] = 60.into();
     limited["services"][0]["coldPerS"] = 4.into();
     let router = Router::start(&limited, &[&cold, &warm]);
-    router.until("announced", || router.store.holds("silverstack/routers/front-1"));
+    router.wait_until("announced", || router.store.contains_key("silverstack/routers/front-1"));
     let mut entry = cold.entry("ready", 2);
     entry["coldRemainingMs"] = 60_000.into();
     router.store.put(&cold.key(), &entry);
-    router.until("cold", || router.has_logged("upstream is cold"));
-    // Eight routers at least are reckoned with only for retries: this one is alone.
-    router.until("it takes part", || go_to(&router, &cold) > 0);
+    router.wait_until("aware of the cold upstream", || router.has_logged("upstream is cold"));
+    // The quota is not divided, since this is the only router.
+    router.wait_until("using the cold upstream", || send_ten(&router, &cold) > 0);
     std::thread::sleep(Duration::from_millis(1_300));
     let begun = Instant::now();
-    let got = go_to(&router, &cold) + go_to(&router, &cold);
+    let received = send_ten(&router, &cold) + send_ten(&router, &cold);
     let windows = 1 + begun.elapsed().as_millis() / 1_150;
-    assert!(got > 0 && got as u128 <= 3 * windows, "{got} in {windows} windows");
+    assert!(received > 0 && received as u128 <= 3 * windows, "{received} in {windows} windows");
 }
 
 #[test]
-fn work_stays_in_the_regions_of_its_route_and_workspace() {
-    let [inside, outside] = pair();
-    let mut homes = configuration(1);
-    homes["routes"][0]["allowedRegions"] = json!(["south"]);
-    let mut bound = configuration(1);
-    bound["tenants"][0]["allowedRegions"] = json!(["south"]);
-    for configuration in [homes, bound] {
-        let router = Router::start_bare(&own_host(), |store| {
+fn keeps_requests_in_the_allowed_regions_of_route_and_workspace() {
+    let [inside, outside] = plain_pair();
+    let mut limited_route = configuration(1);
+    limited_route["routes"][0]["allowedRegions"] = json!(["south"]);
+    let mut limited_workspace = configuration(1);
+    limited_workspace["tenants"][0]["allowedRegions"] = json!(["south"]);
+    for configuration in [limited_route, limited_workspace] {
+        let router = Router::start_unready(&unused_host(), |store| {
             store.put("op/config", &configuration);
             store.put(&inside.key(), &entry_in(&inside, "zone-south"));
             store.put(&outside.key(), &entry_in(&outside, "zone-north"));
         });
-        router.until("ready", || router.is_ready());
-        assert_eq!((go_to(&router, &inside), go_to(&router, &outside)), (10, 0));
-        // Nobody serves it outside, also when nobody does at home.
+        router.wait_until("ready", || router.is_ready());
+        assert_eq!((send_ten(&router, &inside), send_ten(&router, &outside)), (10, 0));
+        // Refused rather than sent outside.
         router.store.remove(&inside.key());
-        router.until("refused", || router.ask("GET /safe/x", &[], "").unwrap().status == 503);
-        assert_eq!(go_to(&router, &outside), 0);
+        router.wait_until("refusing", || {
+            router.request("GET /safe/x", &[], "").unwrap().status == 503
+        });
+        assert_eq!(send_ten(&router, &outside), 0);
     }
 }
--- a/tests/platform/faults.rs
+++ b/tests/platform/faults.rs
@@ -1,4 +1,4 @@
-//! Upstreams that fail in all the ways the platform's pages name.
+//! Retries and refusals for each kind of upstream failure.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
 use std::os::fd::AsRawFd;
@@ -8,49 +8,56 @@
     AddressFamily, Backlog, SockFlag, SockType, SockaddrIn, bind, listen, socket,
 };
 
-use crate::router::{Router, configuration, headers, own_host, pair};
-use crate::standin::{Act, Upstream};
+use crate::router::{Router, configuration, headers, plain_pair, unused_host};
+use crate::standin::{Action, Upstream};
 
-/// Sends one unsafe and one safe request while both upstreams do `act` first;
-/// returns their statuses and how many requests arrived for each.
-fn after(act: &Act) -> [(Option<u16>, usize); 2] {
+/// Sends one unsafe and one safe request, each to a router whose two upstreams perform `action`;
+/// returns the status and the number of requests received by the upstreams for each.
+fn send_with_failing_upstreams(action: &Action) -> [(Option<u16>, usize); 2] {
     ["POST /unsafe/x", "GET /safe/x"].map(|line| {
-        let upstreams = pair();
+        let upstreams = plain_pair();
         for upstream in &upstreams {
-            upstream.set(std::slice::from_ref(act));
+            upstream.set_actions(std::slice::from_ref(action));
         }
         let router = Router::start(&configuration(1), &[&upstreams[0], &upstreams[1]]);
         let body = if line.starts_with("POST") { "b" } else { "" };
-        let answer = router.ask(line, &[("Deadline-Remaining", "1500")], body);
+        let answer = router.request(line, &[("Deadline-Remaining", "1500")], body);
         if let Some(answer) = &answer {
-            assert!(answer.status >= 500, "{act:?}: {answer:?}");
-            let promised = answer.status == 503;
-            assert_eq!(promised, matches!(act, Act::NotRun | Act::Misdirected), "{answer:?}");
+            assert!(answer.status >= 500, "{action:?}: {answer:?}");
+            let is_unexecuted = answer.status == 503;
+            assert_eq!(
+                is_unexecuted,
+                matches!(action, Action::NotRun | Action::Misdirected),
+                "{answer:?}"
+            );
         }
-        let arrived = upstreams.iter().map(|it| it.requests().len()).sum();
-        (answer.map(|it| it.status), arrived)
+        let received = upstreams.iter().map(|upstream| upstream.requests().len()).sum();
+        (answer.map(|answer| answer.status), received)
     })
 }
 
 #[test]
-fn what_may_have_run_is_sent_again_only_if_it_may_be_repeated() {
-    for act in [Act::Close, Act::Crossed, Act::Unsigned, Act::Short, Act::Reset("part")] {
-        let [(unsafe_status, unsafe_sent), (safe_status, safe_sent)] = after(&act);
-        assert_eq!((unsafe_status, unsafe_sent), (Some(502), 1), "{act:?}");
-        assert_eq!((safe_status, safe_sent), (Some(502), 2), "{act:?}");
+fn retries_a_possibly_executed_request_only_if_it_is_safe() {
+    for action in
+        [Action::Close, Action::Crossed, Action::Unsigned, Action::Truncated, Action::Reset("part")]
+    {
+        let [(unsafe_status, unsafe_sent), (safe_status, safe_sent)] =
+            send_with_failing_upstreams(&action);
+        assert_eq!((unsafe_status, unsafe_sent), (Some(502), 1), "{action:?}");
+        assert_eq!((safe_status, safe_sent), (Some(502), 2), "{action:?}");
     }
 }
 
 #[test]
-fn an_answer_without_a_length_is_whole_when_its_connection_ends_in_order() {
+fn an_answer_without_a_length_is_complete_when_the_connection_closes_cleanly() {
     for line in ["POST /unsafe/x", "GET /safe/x"] {
-        let upstream = Upstream::start(&own_host(), "i-1", "plain");
-        upstream.set(&[Act::Unframed("whole")]);
+        let upstream = Upstream::start(&unused_host(), "i-1", "plain");
+        upstream.set_actions(&[Action::Unframed("whole")]);
         let router = Router::start(&configuration(1), &[&upstream]);
         let body = if line.starts_with("POST") { "b" } else { "" };
         for number in 0..3 {
             let id = format!("id-{number}");
-            let answer = router.ask(line, &[("Attempt-Identifier", &id)], body).unwrap();
+            let answer = router.request(line, &[("Attempt-Identifier", &id)], body).unwrap();
             assert_eq!((answer.status, &*answer.body, answer.whole), (200, "whole", true));
             assert_eq!(answer.headers["attempt-identifier"], id);
         }
@@ -59,44 +66,44 @@
 }
 
 #[test]
-fn what_has_not_run_is_sent_to_another_upstream_and_then_refused() {
-    for act in [Act::NotRun, Act::Misdirected] {
-        for (status, sent) in after(&act) {
-            assert_eq!((status, sent), (Some(503), 2), "{act:?}");
+fn retries_an_unexecuted_request_at_another_upstream_and_then_refuses() {
+    for action in [Action::NotRun, Action::Misdirected] {
+        for (status, sent) in send_with_failing_upstreams(&action) {
+            assert_eq!((status, sent), (Some(503), 2), "{action:?}");
         }
     }
 }
 
 #[test]
-fn a_request_that_outlives_its_time_gets_an_answer() {
-    for (status, _) in after(&Act::Silent(6_000)) {
+fn answers_504_after_the_deadline() {
+    for (status, _) in send_with_failing_upstreams(&Action::Silent(6_000)) {
         assert_eq!(status, Some(504));
     }
 }
 
 #[test]
-fn an_upstream_that_says_nothing_is_left_and_what_may_be_repeated_goes_elsewhere() {
-    let [silent, answers] = pair();
-    silent.set(&[Act::Silent(30_000)]);
-    let router = Router::start(&configuration(1), &[&silent, &answers]);
+fn suspends_a_silent_upstream_and_retries_safe_requests_elsewhere() {
+    let [silent, responsive] = plain_pair();
+    silent.set_actions(&[Action::Silent(30_000)]);
+    let router = Router::start(&configuration(1), &[&silent, &responsive]);
     for number in 0..12 {
         let id = format!("id-{number}");
-        let answer = router.ask("GET /safe/x", &[("Attempt-Identifier", &id)], "").unwrap();
+        let answer = router.request("GET /safe/x", &[("Attempt-Identifier", &id)], "").unwrap();
         assert_eq!((answer.status, &*answer.body), (200, "whole"));
     }
     assert!(router.has_logged("upstream left alone"));
 }
 
 #[test]
-fn a_surplus_answer_is_nobodys() {
-    let upstream = Upstream::start(&own_host(), "i-1", "plain");
-    upstream.set(&[Act::Extra]);
+fn discards_a_second_answer_to_one_request() {
+    let upstream = Upstream::start(&unused_host(), "i-1", "plain");
+    upstream.set_actions(&[Action::Extra]);
     let router = Router::start(&configuration(1), &[&upstream]);
     let mut caller = router.caller();
     for number in 0..20 {
         let id = format!("id-{number}");
         let headers = headers(&[("Attempt-Identifier", &id)]);
-        let answer = caller.ask("GET /safe/x", &headers, "").unwrap();
+        let answer = caller.request("GET /safe/x", &headers, "").unwrap();
         if answer.status == 200 {
             assert_eq!((&*answer.body, &*answer.headers["attempt-identifier"]), ("whole", &*id));
         }
@@ -104,39 +111,39 @@
 }
 
 #[test]
-fn an_upstream_that_can_not_be_reached_is_left_and_the_request_goes_elsewhere() {
-    let [gone, lives] = pair();
-    let router = Router::start(&configuration(1), &[&gone, &lives]);
-    // A listener whose queue is full takes no connection, like a host behind a
-    // cut.
+fn sends_requests_elsewhere_when_an_upstream_accepts_no_connection() {
+    let [unreachable, reachable] = plain_pair();
+    let router = Router::start(&configuration(1), &[&unreachable, &reachable]);
+    // A listener with a full queue accepts no connection, like a partitioned host.
     let (address, _queue, _listener) = full_listener();
-    let mut entry = gone.entry("ready", 2);
+    let mut entry = unreachable.entry("ready", 2);
     entry["address"] = address.to_string().into();
-    router.store.put(&gone.key(), &entry);
-    let changes = || router.log().iter().filter(|it| it["payload"] == "upstreams changed").count();
-    router.until("known", || changes() == 2);
+    router.store.put(&unreachable.key(), &entry);
+    let changes =
+        || router.log().iter().filter(|line| line["payload"] == "upstreams changed").count();
+    router.wait_until("aware of the new address", || changes() == 2);
     for number in 0..6 {
         let id = format!("id-{number}");
-        let answer = router.ask("POST /unsafe/x", &[("Attempt-Identifier", &id)], "b").unwrap();
+        let answer = router.request("POST /unsafe/x", &[("Attempt-Identifier", &id)], "b").unwrap();
         assert_eq!(answer.status, 200);
     }
-    assert_eq!(lives.requests().len(), 6);
+    assert_eq!(reachable.requests().len(), 6);
 }
 
-/// A listener that accepts nothing, with connections that fill its queue.
+/// Opens a listener and connections that fill its queue.
 fn full_listener() -> (SocketAddr, Vec<TcpStream>, TcpListener) {
-    let listener = short_listener();
+    let listener = shortest_queue_listener();
     let address = listener.local_addr().expect("an address");
     let connect = || TcpStream::connect_timeout(&address, Duration::from_millis(200));
     let queue = std::iter::from_fn(|| connect().ok()).take(64).collect();
     (address, queue, listener)
 }
 
-/// A listener with the shortest queue.
-fn short_listener() -> TcpListener {
+/// Opens a listener with the shortest queue.
+fn shortest_queue_listener() -> TcpListener {
     let socket =
         socket(AddressFamily::Inet, SockType::Stream, SockFlag::empty(), None).expect("a socket");
-    let host: Ipv4Addr = own_host().parse().expect("an address");
+    let host: Ipv4Addr = unused_host().parse().expect("an address");
     let address = SockaddrIn::from(SocketAddrV4::new(host, 0));
     bind(socket.as_raw_fd(), &address).expect("an address");
     listen(&socket, Backlog::new(1).expect("a length")).expect("a listener");
@@ -144,18 +151,18 @@
 }
 
 #[test]
-fn connections_that_fall_silent_are_not_tried_one_after_the_other() {
-    let [one, two] = pair();
+fn does_not_try_silent_pooled_connections_one_after_the_other() {
+    let [one, two] = plain_pair();
     let router = Router::start(&configuration(1), &[&one, &two]);
-    // Both have connections that are kept.
+    // Both upstreams have pooled connections.
     for number in 0..20 {
         let id = format!("id-{number}");
-        router.ask("GET /safe/x", &[("Attempt-Identifier", &id)], "").expect("an answer");
+        router.request("GET /safe/x", &[("Attempt-Identifier", &id)], "").expect("an answer");
     }
     assert!(!one.requests().is_empty() && !two.requests().is_empty());
     one.silence_connections();
     two.silence_connections();
-    assert_eq!(router.ask("GET /safe/x", &[], "").unwrap().status, 200);
-    // The upstreams themselves are sound.
-    assert_eq!(router.ask("GET /safe/x", &[], "").unwrap().status, 200);
+    assert_eq!(router.request("GET /safe/x", &[], "").unwrap().status, 200);
+    // New connections to the upstreams work.
+    assert_eq!(router.request("GET /safe/x", &[], "").unwrap().status, 200);
 }
--- a/tests/platform/fleet.rs
+++ b/tests/platform/fleet.rs
@@ -1,4 +1,4 @@
-//! Many routers of one failure domain: few of them look at the store.
+//! Routers of one failure domain, of which a few poll the store and pass its changes on.
 
 use std::collections::BTreeSet;
 use std::net::TcpStream;
@@ -8,70 +8,75 @@
 use nix::sys::signal::Signal;
 use serde_json::{Value, json};
 
-use crate::router::{Router, configuration, own_host, route};
+use crate::router::{Router, configuration, route, unused_host};
 use crate::standin::{Mode, Upstream};
 
-/// What the keys begin with under which routers announce that they follow the store.
-const FOLLOWERS: &str = "silverstack/routers/";
+/// Prefix of the keys under which pollers announce themselves.
+const POLLER_KEYS: &str = "silverstack/routers/";
 
-/// How many routers the tests start.
-const ROUTERS: usize = 6;
+const ROUTER_COUNT: usize = 6;
 
-/// How many of them follow the store once all know of each other.
-const FOLLOWING: usize = 2;
+/// Number of routers that poll the store once all know each other.
+const POLLER_COUNT: usize = 2;
 
-/// How long a router's proof of its configuration lasts by the tests' settings, and a second.
-const PROOF_LASTS: Duration = Duration::from_millis(2_900);
+/// Time after which a router's confirmation of its configuration has expired, by the settings of
+/// the tests.
+const CONFIRMATION_TTL: Duration = Duration::from_millis(2_900);
 
-/// A fleet whose routers know of each other, and its upstream.
-fn fleet() -> (Vec<Router>, Upstream) {
-    let upstream = Upstream::start(&own_host(), "i-1", "plain");
+/// Starts routers that know each other, and their upstream.
+fn start_fleet() -> (Vec<Router>, Upstream) {
+    let upstream = Upstream::start(&unused_host(), "i-1", "plain");
     let mut routers = vec![Router::start(&configuration(1), &[&upstream])];
     let store = routers[0].store.clone();
-    routers.extend((2..=ROUTERS).map(|it| Router::join(&store, &format!("front-{it}"))));
+    routers
+        .extend((2..=ROUTER_COUNT).map(|number| Router::join(&store, &format!("front-{number}"))));
     for router in &routers {
-        router.until("counted", || counts(router) == ROUTERS);
+        router.wait_until("aware of all routers", || known_routers(router) == ROUTER_COUNT);
     }
-    routers[0].until("settled", || store.keys(FOLLOWERS).len() == FOLLOWING);
+    routers[0].wait_until("polled by the expected number", || {
+        store.keys(POLLER_KEYS).len() == POLLER_COUNT
+    });
     (routers, upstream)
 }
 
-/// How many routers one knows of, itself included.
-fn counts(router: &Router) -> usize {
-    let met =
-        router.log().into_iter().filter(|it| it["payload"] == "another router announced itself");
-    let names: BTreeSet<_> = met.map(|it| it["kv"]["peer"].to_string()).collect();
+/// Number of routers that a router knows, itself included.
+fn known_routers(router: &Router) -> usize {
+    let announcements = router
+        .log()
+        .into_iter()
+        .filter(|line| line["payload"] == "another router announced itself");
+    let names: BTreeSet<_> = announcements.map(|line| line["kv"]["peer"].to_string()).collect();
     names.len() + 1
 }
 
-/// Whether a router follows the store by itself.
-fn follows(router: &Router) -> bool {
+/// Whether a router polls the store itself.
+fn is_poller(router: &Router) -> bool {
     let name = router.log()[0]["kv"]["name"].as_str().map(str::to_owned);
-    name.is_some_and(|it| router.store.holds(&format!("{FOLLOWERS}{it}")))
+    name.is_some_and(|name| router.store.contains_key(&format!("{POLLER_KEYS}{name}")))
 }
 
-/// From whom a router heard last.
-fn hears_from(router: &Router) -> String {
-    let told = "store source changed";
-    let last = router.log().into_iter().rfind(|it| it["payload"] == told);
-    let from = last.and_then(|it| it["kv"]["from"].as_str().map(str::to_owned));
-    // A router that has only ever looked at the store does not say so.
+/// The source from which a router last got the store's changes.
+fn source(router: &Router) -> String {
+    let message = "store source changed";
+    let last = router.log().into_iter().rfind(|line| line["payload"] == message);
+    let from = last.and_then(|line| line["kv"]["from"].as_str().map(str::to_owned));
+    // Only changes of the source are logged.
     from.unwrap_or_else(|| "the store".to_owned())
 }
 
-/// How often a router has looked at the store in place of hearing from another.
-fn looks(router: &Router) -> usize {
-    let told = "store source changed";
-    let is_look = |it: &&Value| it["payload"] == told && it["kv"]["from"] == "the store";
-    router.log().iter().filter(is_look).count()
+/// Number of times that a router has switched to polling the store itself.
+fn switches_to_store(router: &Router) -> usize {
+    let message = "store source changed";
+    let is_switch = |line: &&Value| line["payload"] == message && line["kv"]["from"] == "the store";
+    router.log().iter().filter(is_switch).count()
 }
 
-/// The status of a request to the route of `version`.
-fn asks(router: &Router, path: &str) -> u16 {
-    router.ask(&format!("GET /{path}/x"), &[], "").map_or(0, |it| it.status)
+/// The status of a request to the route `path`, or 0 without an answer.
+fn status(router: &Router, path: &str) -> u16 {
+    router.request(&format!("GET /{path}/x"), &[], "").map_or(0, |answer| answer.status)
 }
 
-/// A configuration with a further route.
+/// A configuration with the additional route `name`.
 fn with_route(version: u64, name: &str) -> Value {
     let mut changed = configuration(version);
     let routes = changed["routes"].as_array_mut().expect("routes");
@@ -80,204 +85,221 @@
 }
 
 #[test]
-fn few_routers_of_a_domain_look_at_the_store() {
-    let (routers, _upstream) = fleet();
+fn only_pollers_poll_the_store() {
+    let (routers, _upstream) = start_fleet();
     let store = &routers[0].store;
-    let looked = || routers.iter().filter(|it| hears_from(it) == "the store").count();
-    routers[0].until("others hear", || looked() == FOLLOWING);
-    let before: Vec<_> = routers.iter().map(looks).collect();
+    let from_store = || routers.iter().filter(|router| source(router) == "the store").count();
+    routers[0].wait_until("other routers as source", || from_store() == POLLER_COUNT);
+    let before: Vec<_> = routers.iter().map(switches_to_store).collect();
     sleep(Duration::from_secs(2));
-    assert_eq!(store.keys(FOLLOWERS).len(), FOLLOWING);
+    assert_eq!(store.keys(POLLER_KEYS).len(), POLLER_COUNT);
     for (router, before) in routers.iter().zip(before) {
-        assert!(follows(router) || looks(router) == before, "{:?}", router.log());
+        assert!(is_poller(router) || switches_to_store(router) == before, "{:?}", router.log());
     }
-    assert!(routers.iter().all(|it| asks(it, "safe") == 200));
+    assert!(routers.iter().all(|router| status(router, "safe") == 200));
 }
 
 #[test]
-fn what_changes_is_in_force_at_all_routers() {
-    let (routers, upstream) = fleet();
+fn a_change_takes_effect_at_all_routers() {
+    let (routers, upstream) = start_fleet();
     let store = &routers[0].store;
     store.put("op/config", &with_route(2, "added"));
     for router in &routers {
-        router.until("in force", || asks(router, "added") == 200);
+        router.wait_until("using the new configuration", || status(router, "added") == 200);
     }
-    let late = Upstream::start(&own_host(), "i-2", "plain");
+    let late = Upstream::start(&unused_host(), "i-2", "plain");
     store.put(&late.key(), &late.entry("ready", 1));
     store.remove(&upstream.key());
     for router in &routers {
         let before = late.requests().len();
-        router.until("known", || asks(router, "safe") == 200 && late.requests().len() > before);
+        router.wait_until("serving from the new upstream", || {
+            status(router, "safe") == 200 && late.requests().len() > before
+        });
     }
 }
 
 #[test]
-fn a_router_that_the_store_turns_away_serves_by_what_others_tell() {
-    let upstream = Upstream::start(&own_host(), "i-1", "plain");
+fn a_router_rejected_by_the_store_serves_from_its_peers_updates() {
+    let upstream = Upstream::start(&unused_host(), "i-1", "plain");
     let first = Router::start(&configuration(1), &[&upstream]);
-    let door = first.store.door(&own_host());
-    let turned_away = Router::join(&door, "front-2");
-    first.until("both follow", || first.store.keys(FOLLOWERS).len() == 2);
-    turned_away.until("met", || counts(&turned_away) == 2);
-    door.set_mode(Mode::Busy);
-    turned_away.until("turned away", || turned_away.has_logged("the store does not answer"));
-    sleep(PROOF_LASTS);
-    assert_eq!(asks(&turned_away, "safe"), 200);
+    let endpoint = first.store.add_endpoint(&unused_host());
+    let rejected = Router::join(&endpoint, "front-2");
+    first.wait_until("polled by both routers", || first.store.keys(POLLER_KEYS).len() == 2);
+    rejected.wait_until("aware of the other router", || known_routers(&rejected) == 2);
+    endpoint.set_mode(Mode::Busy);
+    rejected
+        .wait_until("rejected by the store", || rejected.has_logged("the store does not answer"));
+    sleep(CONFIRMATION_TTL);
+    assert_eq!(status(&rejected, "safe"), 200);
     first.store.put("op/config", &with_route(2, "added"));
-    turned_away.until("in force", || asks(&turned_away, "added") == 200);
+    rejected.wait_until("using the new configuration", || status(&rejected, "added") == 200);
 }
 
 #[test]
-fn a_history_that_is_gone_is_read_anew_by_few() {
-    let (routers, _upstream) = fleet();
+fn only_pollers_read_the_store_again_after_compaction() {
+    let (routers, _upstream) = start_fleet();
     let store = &routers[0].store;
     let before = store.targets().len();
     store.put("op/config", &with_route(2, "added"));
-    store.forget();
+    store.compact();
     for router in &routers {
-        router.until("in force", || asks(router, "added") == 200);
+        router.wait_until("using the new configuration", || status(router, "added") == 200);
     }
-    let whole =
-        |it: &&String| it.starts_with("/v1/kv-range?pathPrefix=&") || it.ends_with("pathPrefix=");
-    let read = store.targets()[before..].iter().filter(whole).count();
-    assert!((1..=FOLLOWING).contains(&read), "read {read} times");
+    let is_full_read = |target: &&String| {
+        target.starts_with("/v1/kv-range?pathPrefix=&") || target.ends_with("pathPrefix=")
+    };
+    let reads = store.targets()[before..].iter().filter(is_full_read).count();
+    assert!((1..=POLLER_COUNT).contains(&reads), "{reads} full reads");
 }
 
 #[test]
-fn others_follow_where_the_followers_are_killed() {
-    let (mut routers, _upstream) = fleet();
+fn other_routers_become_pollers_after_the_pollers_are_killed() {
+    let (mut routers, _upstream) = start_fleet();
     let store = routers[0].store.clone();
-    let (mut gone, left): (Vec<_>, Vec<_>) = routers.drain(..).partition(follows);
-    assert_eq!(gone.len(), FOLLOWING);
-    gone.iter_mut().for_each(Router::kill);
+    let (mut killed, remaining): (Vec<_>, Vec<_>) = routers.drain(..).partition(is_poller);
+    assert_eq!(killed.len(), POLLER_COUNT);
+    killed.iter_mut().for_each(Router::kill);
     store.put("op/config", &with_route(2, "added"));
-    for router in &left {
-        router.until("in force", || asks(router, "added") == 200);
+    for router in &remaining {
+        router.wait_until("using the new configuration", || status(router, "added") == 200);
     }
-    left[0].until("others follow", || left.iter().filter(|it| follows(it)).count() >= FOLLOWING);
+    remaining[0].wait_until("polled by the remaining routers", || {
+        remaining.iter().filter(|router| is_poller(router)).count() >= POLLER_COUNT
+    });
 }
 
 #[test]
-fn a_key_that_is_taken_away_counts_nowhere_while_followers_are_suspended_and_after() {
-    let (routers, _upstream) = fleet();
+fn a_revoked_key_stays_refused_while_pollers_are_suspended_and_after() {
+    let (routers, _upstream) = start_fleet();
     let store = &routers[0].store;
-    let (suspended, left): (Vec<_>, Vec<_>) = routers.iter().partition(|it| follows(it));
+    let (suspended, remaining): (Vec<_>, Vec<_>) =
+        routers.iter().partition(|router| is_poller(router));
     for router in &suspended {
         router.signal(Signal::SIGSTOP);
     }
     let mut without = configuration(2);
     without["tenants"] = json!([{ "name": "workspace-one", "apiKeys": ["key-two"] }]);
     store.put("op/config", &without);
-    for router in &left {
-        router.until("taken away", || asks(router, "safe") == 401);
+    for router in &remaining {
+        router.wait_until("refusing the revoked key", || status(router, "safe") == 401);
     }
-    sleep(PROOF_LASTS);
+    sleep(CONFIRMATION_TTL);
     for router in &suspended {
         router.signal(Signal::SIGCONT);
     }
     for _ in 0..20 {
         for router in &routers {
-            assert_ne!(asks(router, "safe"), 200, "the key still counts");
+            assert_ne!(status(router, "safe"), 200, "the revoked key is accepted");
         }
     }
     for router in &routers {
-        router.until("refused for good", || asks(router, "safe") == 401);
+        router.wait_until("refusing the revoked key", || status(router, "safe") == 401);
     }
 }
 
 #[test]
-fn a_fleet_whose_routers_are_all_killed_at_once_serves_again() {
-    let (mut routers, _upstream) = fleet();
+fn serves_again_after_all_routers_are_killed_at_once() {
+    let (mut routers, _upstream) = start_fleet();
     routers.iter_mut().for_each(Router::kill);
-    routers.iter_mut().for_each(Router::start_again);
+    routers.iter_mut().for_each(Router::restart);
     for router in &routers {
-        let listens = || TcpStream::connect(router.callers()).is_ok();
-        router.until("serves", || listens() && asks(router, "safe") == 200);
+        let is_listening = || TcpStream::connect(router.caller_address()).is_ok();
+        router.wait_until("serving", || is_listening() && status(router, "safe") == 200);
     }
 }
 
 #[test]
-fn all_hear_of_a_store_that_came_back_older_and_none_goes_back_with_it() {
-    let (routers, _upstream) = fleet();
+fn all_routers_notice_a_restored_store_and_keep_their_configuration() {
+    let (routers, _upstream) = start_fleet();
     let store = &routers[0].store;
-    store.copy();
+    store.back_up();
     store.put("op/config", &with_route(2, "added"));
     for router in &routers {
-        router.until("in force", || asks(router, "added") == 200);
+        router.wait_until("using the new configuration", || status(router, "added") == 200);
     }
-    store.come_back_older();
+    store.restore_backup();
     for router in &routers {
-        router.until("told", || router.has_logged("the store came back from an older copy"));
-        assert_ne!(asks(router, "added"), 404, "an older configuration is in force");
+        router.wait_until("aware of the restore", || {
+            router.has_logged("the store came back from an older copy")
+        });
+        assert_ne!(status(router, "added"), 404, "an older configuration is in force");
     }
-    sleep(PROOF_LASTS);
+    sleep(CONFIRMATION_TTL);
     for router in &routers {
-        assert_eq!(asks(router, "safe"), 503, "an older configuration counts as the newest");
+        assert_eq!(status(router, "safe"), 503, "an older configuration counts as a confirmation");
     }
     store.put("op/config", &with_route(3, "added"));
     for router in &routers {
-        router.until("in force again", || asks(router, "added") == 200);
+        router.wait_until("using the new configuration", || status(router, "added") == 200);
     }
 }
 
 #[test]
-fn upstreams_whose_entries_lapsed_in_an_outage_are_kept_by_those_that_hear_of_it_from_others() {
-    let (routers, upstream) = fleet();
+fn routers_that_do_not_poll_keep_upstreams_whose_entries_expired_in_an_outage() {
+    let (routers, upstream) = start_fleet();
     let store = &routers[0].store;
     store.set_mode(Mode::Busy);
-    // A router whose looks all succeeded knows of no outage.
-    let missed = |it: &&Router| it.has_logged("the store does not answer");
-    routers[0].until("missed", || routers.iter().filter(missed).count() >= FOLLOWING);
+    // Only routers with a failed poll detect the outage.
+    let has_failed = |router: &&Router| router.has_logged("the store does not answer");
+    routers[0].wait_until("failing to poll the store", || {
+        routers.iter().filter(has_failed).count() >= POLLER_COUNT
+    });
     store.remove(&upstream.key());
     store.set_mode(Mode::Up);
-    routers[0].until("back", || routers.iter().any(|it| it.has_logged("the store answers again")));
+    routers[0].wait_until("polling the store again", || {
+        routers.iter().any(|router| router.has_logged("the store answers again"))
+    });
     for router in &routers {
-        assert_eq!(asks(router, "safe"), 200, "an upstream that lives is taken to be gone");
+        assert_eq!(status(router, "safe"), 200, "a live upstream was removed");
     }
     store.put(&upstream.key(), &upstream.entry("ready", 2));
     for router in &routers {
-        router.until("serves", || asks(router, "safe") == 200);
+        router.wait_until("serving", || status(router, "safe") == 200);
     }
 }
 
 #[test]
-fn a_domain_that_is_evacuated_takes_nothing_of_those_that_hear_of_it_from_others() {
-    let (routers, upstream) = fleet();
+fn routers_that_do_not_poll_send_nothing_to_an_evacuated_domain() {
+    let (routers, upstream) = start_fleet();
     let store = &routers[0].store;
-    store.put(&format!("op/evacuate/{}", domain(&upstream)), &json!({}));
+    store.put(&format!("op/evacuate/{}", failure_domain(&upstream)), &json!({}));
     for router in &routers {
-        router.until("left", || asks(router, "safe") == 503);
+        router
+            .wait_until("refusing while the domain is evacuated", || status(router, "safe") == 503);
     }
-    store.remove(&format!("op/evacuate/{}", domain(&upstream)));
+    store.remove(&format!("op/evacuate/{}", failure_domain(&upstream)));
     for router in &routers {
-        router.until("taken back", || asks(router, "safe") == 200);
+        router.wait_until("using the restored domain", || status(router, "safe") == 200);
     }
 }
 
-/// The failure domain of an upstream, as its entry names it.
-fn domain(upstream: &Upstream) -> String {
+/// The failure domain in the entry of an upstream.
+fn failure_domain(upstream: &Upstream) -> String {
     upstream.entry("ready", 1)["zone"].as_str().expect("a zone").to_owned()
 }
 
-/// How much of a kind a router holds, as its metrics say.
-fn held(router: &Router, kind: &str) -> usize {
-    let line = format!("silverstack_held{{kind=\"{kind}\"}} ");
+/// The value of the metric `silverstack_held` for `kind`.
+fn held_count(router: &Router, kind: &str) -> usize {
+    let prefix = format!("silverstack_held{{kind=\"{kind}\"}} ");
     let page = router.page("/metrics");
-    let value = page.lines().find_map(|it| it.strip_prefix(line.as_str())).map(str::trim);
-    value.and_then(|it| it.parse().ok()).unwrap_or_else(|| panic!("no {kind} in {page}"))
+    let value = page.lines().find_map(|line| line.strip_prefix(prefix.as_str())).map(str::trim);
+    value.and_then(|text| text.parse().ok()).unwrap_or_else(|| panic!("no {kind} in {page}"))
 }
 
 #[test]
-fn what_routers_hold_for_others_stays_small_while_the_store_is_away() {
-    let (routers, _upstream) = fleet();
+fn subscribers_and_connections_stay_bounded_during_a_store_outage() {
+    let (routers, _upstream) = start_fleet();
     routers[0].store.set_mode(Mode::Busy);
     for _ in 0..24 {
         sleep(Duration::from_millis(250));
         for router in &routers {
-            let hearers = held(router, "hearers");
-            assert!(hearers < ROUTERS, "{hearers} hearers of {ROUTERS} routers");
-            let connections = held(router, "router_connections");
-            assert!(connections <= 4 * ROUTERS, "{connections} connections");
+            let subscribers = held_count(router, "hearers");
+            assert!(
+                subscribers < ROUTER_COUNT,
+                "{subscribers} subscribers of {ROUTER_COUNT} routers"
+            );
+            let connections = held_count(router, "router_connections");
+            assert!(connections <= 4 * ROUTER_COUNT, "{connections} connections");
         }
     }
 }
--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -1,19 +1,18 @@
-//! The router on the users' platform, against stand-ins of its store and its
-//! upstreams.
+//! Tests of router processes against stand-ins of the platform's store and upstreams.
 
+mod backoff;
 mod caller;
 mod configuration;
-mod crashing;
 mod discovery;
-mod eras;
 mod evacuation;
 mod faults;
 mod fleet;
 mod hints;
 mod path;
 mod places;
-mod rest;
+mod quarantine;
 mod restarts;
+mod restore;
 mod router;
 mod soak;
 mod standin;
--- a/tests/platform/router.rs
+++ b/tests/platform/router.rs
@@ -1,4 +1,4 @@
-//! A real router on stand-ins of the platform.
+//! Starts router processes on stand-ins of the platform.
 
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
@@ -12,42 +12,42 @@
 use crate::caller::{Answer, Caller};
 use crate::standin::{Mode, Store, Upstream};
 
-/// How long anything may take that a test waits for.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Limit of every wait for a condition or for the end of a process.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The ports of the router; each test has a loopback address of its own.
-const CALLERS_PORT: u16 = 21_000;
-const OPERATORS_PORT: u16 = 21_001;
-const HINTS_PORT: u16 = 21_002;
+// Each router has a loopback address of its own, so that all use the same ports.
+const CALLER_PORT: u16 = 21_000;
+const OPERATOR_PORT: u16 = 21_001;
+const INTERNAL_PORT: u16 = 21_002;
 
-/// The name of a router that is alone.
-const FIRST: &str = "front-1";
+/// Name of the first router of a fleet.
+const DEFAULT_NAME: &str = "front-1";
 
-/// The host of the routes.
+/// Host of all routes.
 pub const HOST: &str = "site.example";
 
-/// The key of the only workspace.
+/// API key of the only workspace.
 pub const KEY: &str = "key-one";
 
-/// A loopback address that no other test uses. Each process has those of two blocks; the second
-/// is the first of the process whose number is 32,768 away.
-pub fn own_host() -> String {
+/// Returns a loopback address that no other test uses. Each test process has two blocks of
+/// addresses, derived from its process id.
+pub fn unused_host() -> String {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let next = NEXT.fetch_add(1, Ordering::Relaxed);
     let (block, number) = (next / 254, next % 254 + 1);
-    assert!(block < 2, "there are no more: tests that need many upstreams share one among these");
+    assert!(block < 2, "out of loopback addresses: let upstreams of a test share one");
     let [.., high, low] = std::process::id().to_be_bytes();
     let high = if block == 0 { high } else { high ^ 0x80 };
     format!("127.{}.{low}.{number}", high.max(1))
 }
 
-/// Two upstreams of the plain service, at one address, as there are few.
-pub fn pair() -> [Upstream; 2] {
-    let host = own_host();
+/// Starts two upstreams of the plain service at one loopback address.
+pub fn plain_pair() -> [Upstream; 2] {
+    let host = unused_host();
     ["i-1", "i-2"].map(|name| Upstream::start(&host, name, "plain"))
 }
 
-/// One of the configuration's routes.
+/// A route of the configuration.
 pub fn route(name: &str, kind: &str, service: &str) -> Value {
     json!({
         "name": name,
@@ -65,7 +65,7 @@
     })
 }
 
-/// A configuration with a route of each kind.
+/// A configuration with a route of each kind and a plain and an engine service.
 pub fn configuration(version: u64) -> Value {
     json!({
         "version": version,
@@ -85,7 +85,7 @@
     })
 }
 
-/// A running router with its platform; it is killed when dropped.
+/// A router process and its store; the process is killed on drop.
 #[derive(Debug)]
 pub struct Router {
     pub store: Store,
@@ -96,172 +96,178 @@
 }
 
 impl Router {
-    /// A router whose store holds `configuration` and `upstreams`, ready to
-    /// serve.
+    /// Starts a router whose store contains `configuration` and `upstreams`, and waits until it is
+    /// ready.
     pub fn start(configuration: &Value, upstreams: &[&Upstream]) -> Self {
-        let router = Self::start_bare(&own_host(), |store| fill(store, configuration, upstreams));
-        router.until("ready", || router.is_ready());
+        let router =
+            Self::start_unready(&unused_host(), |store| fill(store, configuration, upstreams));
+        router.wait_until("ready", || router.is_ready());
         router
     }
 
-    /// The same, with a log that nobody reads.
-    pub fn start_unread(configuration: &Value, upstreams: &[&Upstream]) -> Self {
-        let router = Self::start_with(&own_host(), Stdio::piped(), |store| {
+    /// Like [`Router::start`], with a log pipe that is never read.
+    pub fn start_with_unread_log(configuration: &Value, upstreams: &[&Upstream]) -> Self {
+        let router = Self::start_with(&unused_host(), Stdio::piped(), |store| {
             fill(store, configuration, upstreams);
         });
-        router.until("ready", || router.is_ready());
+        router.wait_until("ready", || router.is_ready());
         router
     }
 
-    /// A router whose store `fill` fills before it starts.
-    pub fn start_bare(host: &str, fill: impl FnOnce(&Store)) -> Self {
-        let log = std::fs::File::create(log_path(host)).expect("the test can write");
+    /// Starts a router after `fill` has written to its store, without waiting until it is ready.
+    pub fn start_unready(host: &str, fill: impl FnOnce(&Store)) -> Self {
+        let log = std::fs::File::create(log_path(host)).expect("the file is writable");
         Self::start_with(host, log.into(), fill)
     }
 
-    /// Another router of the fleet that `store` belongs to, ready to serve.
+    /// Starts a further router on `store` and waits until it is ready.
     pub fn join(store: &Store, name: &str) -> Self {
-        let host = own_host();
-        let log = std::fs::File::create(log_path(&host)).expect("the test can write");
+        let host = unused_host();
+        let log = std::fs::File::create(log_path(&host)).expect("the file is writable");
         let router = Self::spawn(&host, name, log.into(), store.clone());
-        router.until("ready", || router.is_ready());
+        router.wait_until("ready", || router.is_ready());
         router
     }
 
     fn start_with(host: &str, out: Stdio, fill: impl FnOnce(&Store)) -> Self {
         let store = Store::start(host);
         fill(&store);
-        Self::spawn(host, FIRST, out, store)
+        Self::spawn(host, DEFAULT_NAME, out, store)
     }
 
     fn spawn(host: &str, name: &str, out: Stdio, store: Store) -> Self {
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
         let settings = folder.join(format!("platform-{host}.toml"));
-        std::fs::write(&settings, toml(host, name, &store)).expect("the test can write");
+        std::fs::write(&settings, toml(host, name, &store)).expect("the file is writable");
         let child = Command::new(env!("CARGO_BIN_EXE_silverstack-router"))
             .env("SILVERSTACK_SETTINGS", &settings)
             .stdout(out)
             .spawn()
             .expect("the binary starts");
         let router = Self { store, host: host.to_owned(), child, settings, log: log_path(host) };
-        router.until("listening", || std::net::TcpStream::connect((host, OPERATORS_PORT)).is_ok());
+        router.wait_until("listening", || {
+            std::net::TcpStream::connect((host, OPERATOR_PORT)).is_ok()
+        });
         router
     }
 
-    /// Where callers connect.
-    pub fn callers(&self) -> String {
-        format!("{}:{CALLERS_PORT}", self.host)
+    /// The address for callers.
+    pub fn caller_address(&self) -> String {
+        format!("{}:{CALLER_PORT}", self.host)
     }
 
-    /// Where hints of other routers come in.
-    pub fn hints(&self) -> String {
-        format!("{}:{HINTS_PORT}", self.host)
+    /// The address for messages of other routers.
+    pub fn internal_address(&self) -> String {
+        format!("{}:{INTERNAL_PORT}", self.host)
     }
 
-    /// A new connection of a caller.
+    /// Opens a connection of a caller.
     pub fn caller(&self) -> Caller {
-        Caller::connect(&self.callers())
+        Caller::connect(&self.caller_address())
     }
 
-    /// Sends one request with the usual headers and further ones.
-    pub fn ask(&self, line: &str, further: &[(&str, &str)], body: &str) -> Option<Answer> {
-        self.caller().ask(line, &headers(further), body)
+    /// Sends a request with the default headers and `further` ones on a new connection.
+    pub fn request(&self, line: &str, further: &[(&str, &str)], body: &str) -> Option<Answer> {
+        self.caller().request(line, &headers(further), body)
     }
 
-    /// Whether it says that it is ready.
+    /// Whether the readiness endpoint answers 200.
     pub fn is_ready(&self) -> bool {
-        let mut operator = Caller::connect(&format!("{}:{OPERATORS_PORT}", self.host));
-        let answer = operator.ask("GET /v1/ready", &[("host", "operators")], "");
-        answer.is_some_and(|it| it.status == 200)
+        let mut operator = Caller::connect(&format!("{}:{OPERATOR_PORT}", self.host));
+        let answer = operator.request("GET /v1/ready", &[("host", "operators")], "");
+        answer.is_some_and(|answer| answer.status == 200)
     }
 
-    /// A page for operators.
+    /// Fetches a page of the operator endpoint.
     pub fn page(&self, path: &str) -> String {
-        let mut operator = Caller::connect(&format!("{}:{OPERATORS_PORT}", self.host));
-        let answer = operator.ask(&format!("GET {path}"), &[("host", "operators")], "");
+        let mut operator = Caller::connect(&format!("{}:{OPERATOR_PORT}", self.host));
+        let answer = operator.request(&format!("GET {path}"), &[("host", "operators")], "");
         answer.expect("an answer").body
     }
 
-    /// Waits until `holds`.
-    pub fn until(&self, what: &str, holds: impl Fn() -> bool) {
+    /// Waits until `condition` is true; `what` names it in the panic message.
+    pub fn wait_until(&self, what: &str, condition: impl Fn() -> bool) {
         let started = Instant::now();
-        while !holds() {
-            assert!(started.elapsed() < PATIENCE, "never {what}: {:?}", self.log());
+        while !condition() {
+            assert!(started.elapsed() < WAIT_TIMEOUT, "never {what}: {:?}", self.log());
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// The lines that it has logged.
+    /// The complete lines of the log.
     pub fn log(&self) -> Vec<Value> {
         let text = std::fs::read_to_string(&self.log).unwrap_or_default();
-        let whole = text.split_inclusive('\n').filter(|line| line.ends_with('\n'));
-        whole.map(|line| serde_json::from_str(line).expect("a JSON line")).collect()
+        let complete = text.split_inclusive('\n').filter(|line| line.ends_with('\n'));
+        complete.map(|line| serde_json::from_str(line).expect("a JSON line")).collect()
     }
 
-    /// Whether a line with this message was logged.
+    /// Whether the log has a line with this message.
     pub fn has_logged(&self, message: &str) -> bool {
         self.log().iter().any(|line| line["payload"] == message)
     }
 
-    /// Has looks at the store ask for less, as the history since the last one is long. Returns
-    /// the configuration that is then in force.
-    pub fn shorten_looks(&self) -> Value {
+    /// Makes the history so long that the router reduces the scope of its polls. Returns the
+    /// configuration that is then in force.
+    pub fn reduce_polls(&self) -> Value {
         let mut long = configuration(2);
         long["note"] = "x".repeat(100_000).into();
         self.store.set_mode(Mode::Busy);
-        self.until("missed", || self.has_logged("the store does not answer"));
-        // The history of these is longer than 512 KB.
+        self.wait_until("failing to poll the store", || {
+            self.has_logged("the store does not answer")
+        });
+        // Their history exceeds the 512 KB from which on polls are reduced.
         for version in 2..9 {
             long["version"] = version.into();
             self.store.put("op/config", &long);
         }
         self.store.set_mode(Mode::Up);
-        self.until("noticed", || self.has_logged("store polls are reduced"));
+        self.wait_until("polling with a reduced scope", || {
+            self.has_logged("store polls are reduced")
+        });
         long
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         let id = i32::try_from(self.child.id()).expect("a process id");
-        kill(Pid::from_raw(id), signal).expect("the process takes the signal");
+        kill(Pid::from_raw(id), signal).expect("the signal is sent");
     }
 
-    /// The settings file.
+    /// Path of the settings file.
     pub fn settings(&self) -> &Path {
         &self.settings
     }
 
-    /// Starts it again under its name and addresses, once it has ended. Its log goes on.
-    pub fn start_again(&mut self) {
+    /// Starts the process again with the same name, addresses and log, once it has ended.
+    pub fn restart(&mut self) {
         let log = std::fs::File::options().append(true).open(&self.log);
         self.child = Command::new(env!("CARGO_BIN_EXE_silverstack-router"))
             .env("SILVERSTACK_SETTINGS", &self.settings)
-            .stdout(log.expect("the log stands"))
+            .stdout(log.expect("the log exists"))
             .spawn()
             .expect("the binary starts");
     }
 
-    /// Kills it and waits until it is gone.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits until it has ended.
-    pub fn ended(&mut self) -> ExitStatus {
+    /// Waits until the process has ended by itself.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         let started = Instant::now();
         loop {
-            if let Some(status) = self.child.try_wait().expect("the process can be waited for") {
+            if let Some(status) = self.child.try_wait().expect("the process is waitable") {
                 return status;
             }
-            assert!(started.elapsed() < PATIENCE, "the process does not end");
+            assert!(started.elapsed() < WAIT_TIMEOUT, "the process has not ended");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// Whether it still runs.
-    pub fn runs(&mut self) -> bool {
-        self.child.try_wait().expect("the process can be waited for").is_none()
+    pub fn is_running(&mut self) -> bool {
+        self.child.try_wait().expect("the process is waitable").is_none()
     }
 }
 
@@ -271,7 +277,7 @@
     }
 }
 
-/// Puts a configuration and upstreams into the store.
+/// Writes a configuration and upstreams to the store.
 fn fill(store: &Store, configuration: &Value, upstreams: &[&Upstream]) {
     store.put("op/config", configuration);
     for upstream in upstreams {
@@ -283,17 +289,17 @@
     Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("platform-{host}.log"))
 }
 
-/// The usual headers of a request, and further ones.
+/// The default headers of a request with `further` ones, which replace those of the same name.
 pub fn headers<'a>(further: &[(&'a str, &'a str)]) -> Vec<(&'a str, &'a str)> {
-    let usual = [
+    let defaults = [
         ("Host", HOST),
         ("Deadline-Remaining", "4000"),
         ("Authorization", "Bearer key-one"),
         ("Attempt-Identifier", "id-1"),
     ];
     let mut headers = Vec::new();
-    for (name, value) in usual {
-        if !further.iter().any(|(it, _)| it.eq_ignore_ascii_case(name)) {
+    for (name, value) in defaults {
+        if !further.iter().any(|(other, _)| other.eq_ignore_ascii_case(name)) {
             headers.push((name, value));
         }
     }
@@ -306,11 +312,11 @@
         r#"nodeName = "{name}"
 zone = "zone-a"
 ipAddress = "{host}"
-internalPorts = [{HINTS_PORT},{HINTS_PORT}]
+internalPorts = [{INTERNAL_PORT},{INTERNAL_PORT}]
 unknownField = [1]
 [listenAddresses]
-front = "{host}:{CALLERS_PORT}"
-ready = "{host}:{OPERATORS_PORT}"
+front = "{host}:{CALLER_PORT}"
+ready = "{host}:{OPERATOR_PORT}"
 [zones]
 zone-south = "south"
 zone-north = "north"
--- a/tests/platform/soak.rs
+++ b/tests/platform/soak.rs
@@ -1,6 +1,6 @@
-//! A fleet under faults that come in series and overlap, by seed.
+//! A soak test of a fleet under seeded, overlapping faults.
 //!
-//! `cargo test --test platform soak` plays three seeds; `SILVERSTACK_SOAK_SEEDS=1-50` plays others.
+//! `cargo test --test platform soak` runs three seeds; `SILVERSTACK_SOAK_SEEDS=1-50` selects others.
 
 mod callers;
 mod fleet;
@@ -13,47 +13,47 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use self::callers::{Kind, Seen, call};
+use self::callers::{Kind, Seen, run_caller};
 use self::fleet::{FATAL, Fleet};
 use crate::caller::Answer;
 
-/// The seeds that are played where none are asked for.
-const SEEDS: (u64, u64) = (1, 3);
+/// First and last default seed.
+const DEFAULT_SEEDS: (u64, u64) = (1, 3);
 
-/// How long faults go on for each seed.
-const LASTS: Duration = Duration::from_secs(20);
+/// Time for which faults are injected per seed.
+const FAULT_DURATION: Duration = Duration::from_secs(20);
 
-/// How many callers ask at a time.
+/// Number of concurrent callers.
 const CALLERS: u64 = 12;
 
-/// How long a key may still be used that was taken away, as the routers' settings say.
-const REVOCATION: Duration = Duration::from_secs(3);
+/// Time after which a revoked key is refused, by the routers' settings.
+const REVOCATION_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long routers may take until they know what the platform's store says, once all is calm.
-const CONTACT: Duration = Duration::from_secs(3);
+/// Time within which all routers know the store's content once no fault is active.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The least number of requests that are served for the rest to say anything.
-const LEAST: usize = 200;
+/// Number of requests that must be served for the other checks to be meaningful.
+const MIN_SERVED: usize = 200;
 
-/// How long engines may take to end.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Time within which fatal work must have crashed three engines.
+const CRASH_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How often fatal work may be sent after that.
-const MOST_RETRIES: usize = 3;
+/// How often quarantined work may still be sent to upstreams.
+const MAX_RETRIES: usize = 3;
 
 #[test]
-fn a_fleet_keeps_its_promises_through_faults_in_series() {
+fn a_fleet_keeps_its_guarantees_under_overlapping_faults() {
     let (first, last) = seeds();
     for seed in first..=last {
         soak(seed);
     }
 }
 
-/// The seeds to play: `FIRST-LAST`.
+/// First and last seed to run, from `SILVERSTACK_SOAK_SEEDS`.
 fn seeds() -> (u64, u64) {
-    let asked = std::env::var("SILVERSTACK_SOAK_SEEDS").ok();
-    let asked = asked.as_deref().and_then(|it| it.split_once('-'));
-    asked.map_or(SEEDS, |(first, last)| {
+    let range = std::env::var("SILVERSTACK_SOAK_SEEDS").ok();
+    let range = range.as_deref().and_then(|range| range.split_once('-'));
+    range.map_or(DEFAULT_SEEDS, |(first, last)| {
         (first.parse().expect("a seed"), last.parse().expect("a seed"))
     })
 }
@@ -61,79 +61,85 @@
 fn soak(seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut fleet = Fleet::start(3);
-    let routers: Vec<_> = fleet.routers.iter().map(crate::router::Router::callers).collect();
+    let routers: Vec<_> = fleet.routers.iter().map(crate::router::Router::caller_address).collect();
     let (stop, next) = (AtomicBool::new(false), AtomicUsize::new(0));
-    let asked: Vec<Seen> = std::thread::scope(|scope| {
+    let exchanges: Vec<Seen> = std::thread::scope(|scope| {
         let start = |number| {
             let (routers, stop, next) = (&routers, &stop, &next);
-            scope.spawn(move || call(routers, stop, next, seed * 1_000 + number))
+            scope.spawn(move || run_caller(routers, stop, next, seed * 1_000 + number))
         };
         let callers: Vec<_> = (0..CALLERS).map(start).collect();
-        disturb(&mut fleet, &mut random);
+        inject_faults(&mut fleet, &mut random);
         stop.store(true, std::sync::atomic::Ordering::Relaxed);
-        callers.into_iter().flat_map(|it| it.join().expect("a caller")).collect()
+        callers.into_iter().flat_map(|caller| caller.join().expect("a caller")).collect()
     });
     let context = format!("seed {seed}: {:#?}", fleet.log);
-    check(&fleet, &asked, &context);
-    words::check_rests(&fleet, &context);
-    words::check_leaving(&fleet, &asked, &context);
+    check(&fleet, &exchanges, &context);
+    words::check_backoffs(&fleet, &context);
+    words::check_leaving(&fleet, &exchanges, &context);
     check_calm(&fleet, &context);
 }
 
-/// Disturbs the fleet, and has it calm at the end.
-fn disturb(fleet: &mut Fleet, random: &mut ChaCha8Rng) {
+/// Injects faults for a while, then undoes all of them.
+fn inject_faults(fleet: &mut Fleet, random: &mut ChaCha8Rng) {
     let begun = Instant::now();
-    while begun.elapsed() < LASTS {
-        fleet.disturb(random);
+    while begun.elapsed() < FAULT_DURATION {
+        fleet.inject_fault(random);
         std::thread::sleep(Duration::from_millis(random.random_range(0..700)));
-        fleet.mend(false);
-        if fleet.revoked.is_none() && begun.elapsed() > LASTS / 2 {
+        fleet.undo_faults(false);
+        if fleet.revoked_at.is_none() && begun.elapsed() > FAULT_DURATION / 2 {
             fleet.revoke();
         }
     }
-    fleet.mend(true);
-    end_three(fleet);
-    std::thread::sleep(CONTACT);
+    fleet.undo_faults(true);
+    crash_three(fleet);
+    std::thread::sleep(PROPAGATION_TIMEOUT);
 }
 
-/// Has three engines at least end under the fatal work, however few have until now.
-fn end_three(fleet: &Fleet) {
+/// Sends fatal work until it has crashed at least three engines.
+fn crash_three(fleet: &Fleet) {
     let begun = Instant::now();
-    while fleet.fatal().1 < 3 && begun.elapsed() < PATIENCE {
+    while fleet.fatal_counts().1 < 3 && begun.elapsed() < CRASH_TIMEOUT {
         fleet.send_fatal(0, 1);
         std::thread::sleep(Duration::from_millis(100));
     }
 }
 
-/// What held at all times.
-fn check(fleet: &Fleet, asked: &[Seen], context: &str) {
+/// Checks the guarantees that hold during faults.
+fn check(fleet: &Fleet, exchanges: &[Seen], context: &str) {
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
-    let requests = fleet.all.iter().flat_map(crate::standin::Upstream::requests);
-    for request in requests.filter(|it| !it.turned_away) {
+    let requests = fleet.all_instances.iter().flat_map(crate::standin::Upstream::requests);
+    for request in requests.filter(|request| !request.refused) {
         let id = request.header("attempt-identifier").unwrap_or("").to_owned();
         *runs.entry(id).or_default() += 1;
     }
-    let served = asked.iter().filter(|it| it.answer.as_ref().is_some_and(|it| it.status == 200));
+    let served = exchanges
+        .iter()
+        .filter(|seen| seen.answer.as_ref().is_some_and(|answer| answer.status == 200));
     let served = served.count();
-    assert!(served > LEAST, "{served} of {} are served: {context}", asked.len());
-    for it in asked {
-        let ran = runs.get(&it.id).copied().unwrap_or_default();
-        if matches!(it.kind, Kind::Unsafe | Kind::Stream) {
-            assert!(ran <= 1, "{it:?} ran {ran} times: {context}");
+    assert!(served > MIN_SERVED, "{served} of {} are served: {context}", exchanges.len());
+    for seen in exchanges {
+        let ran = runs.get(&seen.id).copied().unwrap_or_default();
+        if matches!(seen.kind, Kind::Unsafe | Kind::Stream) {
+            assert!(ran <= 1, "{seen:?} ran {ran} times: {context}");
         }
-        let late = fleet.revoked.is_some_and(|at| it.sent > at + REVOCATION);
-        assert!(ran == 0 || !it.revoked || !late, "{it:?} ran with a key taken away: {context}");
-        if let Some(answer) = &it.answer {
-            check_answer(it, answer, ran, context);
+        let late = fleet.revoked_at.is_some_and(|at| seen.sent > at + REVOCATION_TIMEOUT);
+        assert!(
+            ran == 0 || !seen.revoked || !late,
+            "{seen:?} ran with a key taken away: {context}"
+        );
+        if let Some(answer) = &seen.answer {
+            check_answer(seen, answer, ran, context);
         }
     }
 }
 
-/// An answer is its request's own, whole or visibly not, and keeps what its status promises.
+/// Checks that an answer belongs to its request, is complete or recognizably cut off, and that a
+/// status for unexecuted requests is true.
 fn check_answer(seen: &Seen, answer: &Answer, ran: usize, context: &str) {
-    let promises = matches!(answer.status, 408 | 421 | 429 | 503);
-    let once = matches!(seen.kind, Kind::Unsafe | Kind::Stream);
-    assert!(!promises || !once || ran == 0, "{seen:?} had run: {context}");
+    let is_unexecuted = matches!(answer.status, 408 | 421 | 429 | 503);
+    let is_run_once = matches!(seen.kind, Kind::Unsafe | Kind::Stream);
+    assert!(!is_unexecuted || !is_run_once || ran == 0, "{seen:?} had run: {context}");
     if answer.status != 200 {
         return;
     }
@@ -147,31 +153,32 @@
     match seen.kind {
         Kind::Safe | Kind::Unsafe => assert_eq!(answer.body, "whole", "{seen:?}: {context}"),
         Kind::Stream | Kind::Resumed => {
-            let lines = answer.body.lines().filter_map(|it| it.strip_prefix("id: "));
+            let lines = answer.body.lines().filter_map(|line| line.strip_prefix("id: "));
             let numbers: Vec<_> = lines.collect();
             assert_eq!(numbers, ["1", "2", "3", "4", "5"], "{seen:?}: {context}");
         }
     }
 }
 
-/// What holds once all is calm: every router serves everything, and sends fatal work no more.
+/// Checks that every router serves all kinds of requests after the faults, and quarantines fatal
+/// work.
 fn check_calm(fleet: &Fleet, context: &str) {
-    let (before, ended) = fleet.fatal();
-    for (place, router) in fleet.routers.iter().enumerate() {
-        router.until(&format!("ready again: {context}"), || router.is_ready());
+    let (before, crashed) = fleet.fatal_counts();
+    for (index, router) in fleet.routers.iter().enumerate() {
+        router.wait_until(&format!("ready again: {context}"), || router.is_ready());
         for kind in Kind::ALL {
-            let (line, id) = (kind.line(), format!("calm-{place}-{kind:?}"));
-            router.until(&format!("serving {line}: {context}"), || {
-                let answer = router.ask(line, &[("Attempt-Identifier", &id)], "calm");
-                answer.is_some_and(|it| it.status == 200 && it.whole)
+            let (line, id) = (kind.line(), format!("calm-{index}-{kind:?}"));
+            router.wait_until(&format!("serving {line}: {context}"), || {
+                let answer = router.request(line, &[("Attempt-Identifier", &id)], "calm");
+                answer.is_some_and(|answer| answer.status == 200 && answer.whole)
             });
         }
     }
-    assert!(ended >= 3, "{ended} engines have ended: {context}");
-    for place in 0..fleet.routers.len() {
-        fleet.send_fatal(place, 4);
+    assert!(crashed >= 3, "{crashed} engines have ended: {context}");
+    for index in 0..fleet.routers.len() {
+        fleet.send_fatal(index, 4);
     }
-    let (after, _) = fleet.fatal();
+    let (after, _) = fleet.fatal_counts();
     let sent = after - before;
-    assert!(sent <= MOST_RETRIES, "{FATAL:?} was sent {sent} times more: {context}");
+    assert!(sent <= MAX_RETRIES, "{FATAL:?} was sent {sent} times more: {context}");
 }
--- a/tests/platform/soak/fleet.rs
+++ b/tests/platform/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of routers with its platform, and what happens to them.
+//! A fleet of routers with its store and upstreams, and the faults injected into them.
 
 use std::time::{Duration, Instant};
 
@@ -8,13 +8,13 @@
 use serde_json::{Value, json};
 
 use super::callers::REVOKED;
-use crate::router::{KEY, Router, configuration, own_host};
-use crate::standin::{Act, Mode, Upstream};
+use crate::router::{KEY, Router, configuration, unused_host};
+use crate::standin::{Action, Mode, Upstream};
 
-/// The work under which engines end.
+/// Body of requests that crash engines.
 pub const FATAL: &str = "the work under which engines end";
 
-/// What may happen. Several may be under way at a time.
+/// A fault to inject. Several may be active at once.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     KillRouter,
@@ -54,7 +54,7 @@
     Fault::SendFatal,
 ];
 
-/// What is to be undone, and when.
+/// How to undo a fault.
 #[derive(Debug)]
 enum Undo {
     StartRouter(usize),
@@ -63,135 +63,135 @@
     StoreOlder,
     StartUpstream(usize),
     Entry(usize),
-    Rest(usize),
-    Acts(usize),
+    Backoff(usize),
+    Actions(usize),
 }
 
-/// The fleet.
+/// Routers, their store and their upstreams.
 pub struct Fleet {
     pub routers: Vec<Router>,
-    /// The upstreams as they are now, by place.
+    /// The current instance of each upstream, by index.
     pub upstreams: Vec<Upstream>,
-    /// The number of each one's start.
+    /// The start number of each current instance.
     born: Vec<u64>,
-    /// All starts of upstreams that there have been.
-    pub all: Vec<Upstream>,
+    /// All instances of upstreams, including earlier ones.
+    pub all_instances: Vec<Upstream>,
     host: String,
     version: u64,
     starts: u64,
-    /// When the platform took the configuration that takes the key away.
-    pub revoked: Option<Instant>,
+    /// When the configuration that revokes the key was written.
+    pub revoked_at: Option<Instant>,
     undo: Vec<(Instant, Undo)>,
-    /// Routers that are stopped, killed or frozen.
-    away: Vec<usize>,
-    /// Since when and until when routers were.
-    pub disturbed: Vec<(usize, Instant, Instant)>,
+    /// Indices of routers that are stopped, killed or suspended.
+    unavailable: Vec<usize>,
+    /// Router index, start and end of each unavailability.
+    pub outages: Vec<(usize, Instant, Instant)>,
     pub log: Vec<String>,
 }
 
 impl Fleet {
     pub fn start(routers: usize) -> Self {
-        let host = own_host();
-        let upstreams: Vec<_> = (0..9).map(|place| upstream(&host, place)).collect();
-        let first = Router::start_bare(&own_host(), |store| {
-            store.put("op/config", &with_keys(1, &[KEY, REVOKED]));
+        let host = unused_host();
+        let upstreams: Vec<_> = (0..9).map(|index| start_instance(&host, index)).collect();
+        let first = Router::start_unready(&unused_host(), |store| {
+            store.put("op/config", &configuration_with_keys(1, &[KEY, REVOKED]));
             for upstream in &upstreams {
                 store.put(&upstream.key(), &entry(upstream, 1));
             }
         });
-        first.until("ready", || first.is_ready());
+        first.wait_until("ready", || first.is_ready());
         let mut fleet = vec![first];
         for number in 1..routers {
             fleet.push(Router::join(&fleet[0].store, &format!("front-{}", number + 1)));
         }
         Self {
             routers: fleet,
-            all: upstreams.clone(),
+            all_instances: upstreams.clone(),
             born: vec![1; upstreams.len()],
             upstreams,
             host,
             version: 1,
             starts: 1,
-            revoked: None,
+            revoked_at: None,
             undo: Vec::new(),
-            away: Vec::new(),
-            disturbed: Vec::new(),
+            unavailable: Vec::new(),
+            outages: Vec::new(),
             log: Vec::new(),
         }
     }
 
-    /// Has something happen.
-    pub fn disturb(&mut self, random: &mut ChaCha8Rng) {
+    /// Injects a random fault.
+    pub fn inject_fault(&mut self, random: &mut ChaCha8Rng) {
         let fault = FAULTS[random.random_range(0..FAULTS.len())];
         let router = random.random_range(0..self.routers.len());
-        let place = random.random_range(0..self.upstreams.len());
-        let lasts = Duration::from_millis(random.random_range(100..2_000));
-        self.log.push(format!("{fault:?} router {router} upstream {place} {lasts:?}"));
-        let until = Instant::now() + lasts;
+        let index = random.random_range(0..self.upstreams.len());
+        let duration = Duration::from_millis(random.random_range(100..2_000));
+        self.log.push(format!("{fault:?} router {router} upstream {index} {duration:?}"));
+        let until = Instant::now() + duration;
         let store = self.routers[0].store.clone();
         match fault {
             Fault::KillRouter => {
-                if self.take_away(router) {
+                if self.mark_unavailable(router) {
                     self.routers[router].kill();
                     self.undo.push((until, Undo::StartRouter(router)));
                 }
             }
             Fault::StopRouter => {
-                if self.take_away(router) {
+                if self.mark_unavailable(router) {
                     self.routers[router].signal(Signal::SIGTERM);
-                    // Its callers use their connections until it is gone.
+                    // Callers keep using their connections until the process ends.
                     self.undo.push((until, Undo::StartRouter(router)));
                 }
             }
             Fault::FreezeRouter => {
-                if self.take_away(router) {
+                if self.mark_unavailable(router) {
                     self.routers[router].signal(Signal::SIGSTOP);
                     self.undo.push((until, Undo::WakeRouter(router)));
                 }
             }
-            Fault::StoreBusy => self.store_fails(Mode::Busy, until),
-            Fault::StoreSilent => self.store_fails(Mode::Silent, until),
-            Fault::HistoryGone => store.forget(),
+            Fault::StoreBusy => self.set_store_mode(Mode::Busy, until),
+            Fault::StoreSilent => self.set_store_mode(Mode::Silent, until),
+            Fault::HistoryGone => store.compact(),
             Fault::StoreConnectionsSilent => store.silence_connections(),
             Fault::StoreOlder => {
-                store.copy();
+                store.back_up();
                 self.undo.push((until, Undo::StoreOlder));
             }
             Fault::EndUpstream => {
-                self.upstreams[place].crash();
-                self.undo.push((until, Undo::StartUpstream(place)));
+                self.upstreams[index].crash();
+                self.undo.push((until, Undo::StartUpstream(index)));
             }
             Fault::RestartUpstream => {
-                self.upstreams[place].crash();
-                self.start_upstream(place);
+                self.upstreams[index].crash();
+                self.start_upstream(index);
             }
             Fault::ForeignEntry => {
                 let text: String = (0..40).map(|_| random.random_range(' '..'~')).collect();
-                store.put_text(&self.upstreams[place].key(), &text);
+                store.put_text(&self.upstreams[index].key(), &text);
                 store.put_text("servers/another", "{}");
-                self.undo.push((until, Undo::Entry(place)));
+                self.undo.push((until, Undo::Entry(index)));
             }
             Fault::AskForRest => {
-                // One longer than the fault, so that it is kept while requests are served again.
-                let rest = Duration::from_millis(random.random_range(2_500..6_000));
-                self.upstreams[place].set_rest(Some(rest));
-                self.undo.push((until, Undo::Rest(place)));
+                // Longer than the fault, so that it must be kept while requests are served again.
+                let backoff = Duration::from_millis(random.random_range(2_500..6_000));
+                self.upstreams[index].set_backoff(Some(backoff));
+                self.undo.push((until, Undo::Backoff(index)));
             }
             Fault::LeaveByAnswers => {
-                self.upstreams[place].leave();
-                self.undo.push((until, Undo::StartUpstream(place)));
+                self.upstreams[index].announce_leaving();
+                self.undo.push((until, Undo::StartUpstream(index)));
             }
             Fault::CrossAnswers => {
-                self.upstreams[place].set(&[Act::Crossed]);
-                self.undo.push((until, Undo::Acts(place)));
+                self.upstreams[index].set_actions(&[Action::Crossed]);
+                self.undo.push((until, Undo::Actions(index)));
             }
-            Fault::Configuration => self.configure(random.random_bool(0.5)),
+            Fault::Configuration => self.update_configuration(random.random_bool(0.5)),
             Fault::SendFatal => self.send_fatal(router, 2),
         }
     }
 
-    /// Undoes what is due.
-    pub fn mend(&mut self, all: bool) {
+    /// Undoes the faults that are due, or all.
+    pub fn undo_faults(&mut self, all: bool) {
         let now = Instant::now();
         for (at, undo) in std::mem::take(&mut self.undo) {
             if !all && at > now {
@@ -200,129 +200,133 @@
             }
             match undo {
                 Undo::StartRouter(router) => {
-                    self.routers[router].ended();
-                    self.routers[router].start_again();
-                    self.bring_back(router);
+                    self.routers[router].wait_for_exit();
+                    self.routers[router].restart();
+                    self.mark_available(router);
                 }
                 Undo::WakeRouter(router) => {
                     self.routers[router].signal(Signal::SIGCONT);
-                    self.bring_back(router);
+                    self.mark_available(router);
                 }
                 Undo::StoreUp => self.routers[0].store.set_mode(Mode::Up),
-                Undo::StoreOlder => self.bring_store_back(),
-                Undo::StartUpstream(place) => self.start_upstream(place),
-                Undo::Entry(place) => self.list(place),
-                Undo::Rest(place) => self.upstreams[place].set_rest(None),
-                Undo::Acts(place) => self.upstreams[place].set(&[usual(place)]),
+                Undo::StoreOlder => self.restore_store(),
+                Undo::StartUpstream(index) => self.start_upstream(index),
+                Undo::Entry(index) => self.write_entry(index),
+                Undo::Backoff(index) => self.upstreams[index].set_backoff(None),
+                Undo::Actions(index) => self.upstreams[index].set_actions(&[default_action(index)]),
             }
         }
     }
 
-    /// Takes the second key away, for good.
+    /// Revokes the second key for the rest of the run.
     pub fn revoke(&mut self) {
         self.version += 1;
-        self.revoked = Some(Instant::now());
+        self.revoked_at = Some(Instant::now());
         self.write_configuration(5_000);
     }
 
-    /// Sends the fatal work `times` times to a router.
+    /// Sends fatal work to a router `times` times.
     pub fn send_fatal(&self, router: usize, times: usize) {
         for _ in 0..times {
-            let callers = self.routers[router].callers();
+            let callers = self.routers[router].caller_address();
             let limit = Duration::from_secs(2);
             let Some(mut caller) = crate::caller::Caller::try_connect(&callers, limit) else {
                 continue;
             };
             let headers = crate::router::headers(&[("Attempt-Identifier", "fatal")]);
-            caller.try_ask("POST /stream/x", &headers, FATAL);
+            caller.try_request("POST /stream/x", &headers, FATAL);
         }
     }
 
-    /// How often upstreams got the fatal work, and how many had ended under it.
-    pub fn fatal(&self) -> (usize, usize) {
-        let got =
-            |it: &Upstream| it.requests().iter().filter(|it| it.body == FATAL.as_bytes()).count();
-        let got: Vec<_> = self.all.iter().map(got).collect();
-        (got.iter().sum(), got.iter().filter(|it| **it > 0).count())
+    /// Number of fatal requests that upstreams received, and of upstreams that received any.
+    pub fn fatal_counts(&self) -> (usize, usize) {
+        let count = |upstream: &Upstream| {
+            upstream.requests().iter().filter(|request| request.body == FATAL.as_bytes()).count()
+        };
+        let counts: Vec<_> = self.all_instances.iter().map(count).collect();
+        (counts.iter().sum(), counts.iter().filter(|count| **count > 0).count())
     }
 
-    fn take_away(&mut self, router: usize) -> bool {
-        let stays = self.away.contains(&router);
-        if !stays {
-            self.away.push(router);
-            // Until it is back; then this is set to when that was.
-            self.disturbed.push((router, Instant::now(), Instant::now()));
+    /// Marks a router as unavailable; returns whether it was available.
+    fn mark_unavailable(&mut self, router: usize) -> bool {
+        let is_unavailable = self.unavailable.contains(&router);
+        if !is_unavailable {
+            self.unavailable.push(router);
+            // The end is set when the router is available again.
+            self.outages.push((router, Instant::now(), Instant::now()));
         }
-        !stays
+        !is_unavailable
     }
 
-    fn bring_back(&mut self, router: usize) {
-        self.away.retain(|it| *it != router);
-        let last = self.disturbed.iter_mut().rev().find(|it| it.0 == router);
-        last.expect("it was away").2 = Instant::now();
+    /// Marks a router as available and records the end of its unavailability.
+    fn mark_available(&mut self, router: usize) {
+        self.unavailable.retain(|unavailable| *unavailable != router);
+        let last = self.outages.iter_mut().rev().find(|entry| entry.0 == router);
+        last.expect("the router was unavailable").2 = Instant::now();
     }
 
-    /// Whether a router was stopped, killed or frozen between two times.
-    pub fn was_disturbed(&self, router: &str, from: Instant, to: Instant) -> bool {
-        let of_it = |it: &&(usize, Instant, Instant)| it.0.to_string() == router;
-        self.disturbed.iter().filter(of_it).any(|it| it.1 <= to && it.2 >= from)
+    /// Whether a router was stopped, killed or suspended between two times.
+    pub fn was_unavailable(&self, router: &str, from: Instant, to: Instant) -> bool {
+        let is_of_router = |entry: &&(usize, Instant, Instant)| entry.0.to_string() == router;
+        self.outages.iter().filter(is_of_router).any(|entry| entry.1 <= to && entry.2 >= from)
     }
 
-    fn store_fails(&mut self, mode: Mode, until: Instant) {
+    fn set_store_mode(&mut self, mode: Mode, until: Instant) {
         self.routers[0].store.set_mode(mode);
         self.undo.push((until, Undo::StoreUp));
     }
 
-    fn configure(&mut self, longer: bool) {
+    /// Writes a new version of the configuration with one of two route timeouts.
+    fn update_configuration(&mut self, longer: bool) {
         self.version += 1;
         self.write_configuration(if longer { 5_000 } else { 4_000 });
     }
 
     fn write_configuration(&self, timeout_ms: u64) {
-        let keys: &[&str] = if self.revoked.is_some() { &[KEY] } else { &[KEY, REVOKED] };
-        let mut changed = with_keys(self.version, keys);
+        let keys: &[&str] = if self.revoked_at.is_some() { &[KEY] } else { &[KEY, REVOKED] };
+        let mut changed = configuration_with_keys(self.version, keys);
         changed["routes"][0]["timeoutMs"] = timeout_ms.into();
         self.routers[0].store.put("op/config", &changed);
     }
 
-    /// The store comes back from its copy; the operator and the upstreams write again.
-    fn bring_store_back(&mut self) {
-        self.routers[0].store.come_back_older();
+    /// Restores the store's backup and writes the configuration and upstreams' entries again.
+    fn restore_store(&mut self) {
+        self.routers[0].store.restore_backup();
         self.write_configuration(5_000);
-        for place in 0..self.upstreams.len() {
-            self.list(place);
+        for index in 0..self.upstreams.len() {
+            self.write_entry(index);
         }
     }
 
-    /// Starts the upstream at `place` again, under its name at another address.
-    fn start_upstream(&mut self, place: usize) {
+    /// Starts the upstream at `index` again, with the same name at another address.
+    fn start_upstream(&mut self, index: usize) {
         self.starts += 1;
-        self.born[place] = self.starts;
-        self.upstreams[place] = upstream(&self.host, place);
-        self.all.push(self.upstreams[place].clone());
-        self.list(place);
+        self.born[index] = self.starts;
+        self.upstreams[index] = start_instance(&self.host, index);
+        self.all_instances.push(self.upstreams[index].clone());
+        self.write_entry(index);
     }
 
-    fn list(&self, place: usize) {
-        let upstream = &self.upstreams[place];
-        self.routers[0].store.put(&upstream.key(), &entry(upstream, self.born[place]));
+    fn write_entry(&self, index: usize) {
+        let upstream = &self.upstreams[index];
+        self.routers[0].store.put(&upstream.key(), &entry(upstream, self.born[index]));
     }
 }
 
-/// The first three are plain, the others engines.
-fn upstream(host: &str, place: usize) -> Upstream {
-    let service = if place < 3 { "plain" } else { "engine" };
-    let upstream = Upstream::start(host, &format!("i-{place}"), service);
-    upstream.set(&[usual(place)]);
-    if place >= 3 {
+/// Starts the upstream of this index: the first three are plain, the others engines.
+fn start_instance(host: &str, index: usize) -> Upstream {
+    let service = if index < 3 { "plain" } else { "engine" };
+    let upstream = Upstream::start(host, &format!("i-{index}"), service);
+    upstream.set_actions(&[default_action(index)]);
+    if index >= 3 {
         upstream.set_fatal(FATAL);
     }
     upstream
 }
 
-/// What the upstream at `place` does with requests in calm.
-fn usual(place: usize) -> Act {
-    if place < 3 { Act::Late(40, 200, "whole") } else { Act::Events(1, 5, 30) }
+/// The action of the upstream at `index` without faults.
+fn default_action(index: usize) -> Action {
+    if index < 3 { Action::Delayed(40, 200, "whole") } else { Action::Events(1, 5, 30) }
 }
 
 fn entry(upstream: &Upstream, born: u64) -> Value {
@@ -331,7 +335,7 @@
     entry
 }
 
-fn with_keys(version: u64, keys: &[&str]) -> Value {
+fn configuration_with_keys(version: u64, keys: &[&str]) -> Value {
     let mut configuration = configuration(version);
     configuration["tenants"] = json!([{ "name": "workspace-one", "apiKeys": keys }]);
     configuration
--- a/tests/platform/soak/words.rs
+++ b/tests/platform/soak/words.rs
@@ -1,45 +1,57 @@
-//! What upstreams say of themselves with their answers is kept by each router that they tell.
+//! Checks that routers obey the backoffs and leaving notices in upstreams' answers.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use super::callers::Seen;
 use super::fleet::Fleet;
-use crate::standin::router;
+use crate::standin::sender;
 
-/// How many requests of one router an upstream takes in the rest that it asked for.
-const MOST: usize = 2;
+/// Requests that one router may send to an upstream during a backoff.
+const MAX_REQUESTS: usize = 2;
 
-/// How long after the word that it leaves callers' requests may still go to an upstream, as the
-/// routers' settings say.
-const DRAIN: Duration = Duration::from_millis(400);
+/// How long an upstream may still be sent callers' requests after its leaving notice, by the
+/// routers' settings.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// No upstream got more in a rest than it may.
-pub fn check_rests(fleet: &Fleet, context: &str) {
-    for upstream in &fleet.all {
+/// Checks the number of requests that each upstream received during its backoffs.
+pub fn check_backoffs(fleet: &Fleet, context: &str) {
+    for upstream in &fleet.all_instances {
         let requests = upstream.requests();
-        for rest in upstream.rests() {
-            let broken = requests.iter().filter(|it| rest.is_broken_by(it)).count();
-            let excused = fleet.was_disturbed(&rest.router, rest.asked, rest.asked + rest.lasts);
+        for backoff in upstream.backoffs() {
+            let violations =
+                requests.iter().filter(|request| backoff.is_violated_by(request)).count();
+            let is_excused = fleet.was_unavailable(
+                &backoff.router,
+                backoff.asked_at,
+                backoff.asked_at + backoff.duration,
+            );
             let name = &upstream.name;
-            assert!(broken <= MOST || excused, "{name} got {broken} in {rest:?}: {context}");
+            assert!(
+                violations <= MAX_REQUESTS || is_excused,
+                "{name} got {violations} in {backoff:?}: {context}"
+            );
         }
     }
 }
 
-/// No upstream got a request that was sent long after it had told its router that it leaves.
-pub fn check_leaving(fleet: &Fleet, asked: &[Seen], context: &str) {
-    let sent: HashMap<&str, Instant> = asked.iter().map(|it| (&*it.id, it.sent)).collect();
-    for upstream in &fleet.all {
-        let told = upstream.told_leaving();
+/// Checks that no upstream received a request sent after its leaving notice and the drain timeout.
+pub fn check_leaving(fleet: &Fleet, exchanges: &[Seen], context: &str) {
+    let sent: HashMap<&str, Instant> =
+        exchanges.iter().map(|seen| (&*seen.id, seen.sent)).collect();
+    for upstream in &fleet.all_instances {
+        let since = upstream.leaving_sent_at();
         for request in upstream.requests() {
-            let router = router(&request);
+            let router = sender(&request);
             let id = request.header("attempt-identifier").unwrap_or("");
-            let (Some(told), Some(sent)) = (told.get(&router), sent.get(id)) else { continue };
-            let late = *sent > *told + DRAIN;
-            let excused = || fleet.was_disturbed(&router, *told, request.came);
+            let (Some(since), Some(sent)) = (since.get(&router), sent.get(id)) else { continue };
+            let is_late = *sent > *since + DRAIN_TIMEOUT;
+            let is_excused = || fleet.was_unavailable(&router, *since, request.received_at);
             let name = &upstream.name;
-            assert!(!late || excused(), "{name}, which leaves, got {id} of {router}: {context}");
+            assert!(
+                !is_late || is_excused(),
+                "{name}, which leaves, got {id} of {router}: {context}"
+            );
         }
     }
 }
--- a/tests/platform/standin/held.rs
+++ b/tests/platform/standin/contents.rs
@@ -1,10 +1,10 @@
-//! What the stand-in of the key-value service holds, and what a copy of it brings back.
+//! The contents of the key-value store's stand-in, as saved and restored by a backup.
 
 use std::collections::BTreeMap;
 
 use serde_json::{Value, json};
 
-/// What stands under a key.
+/// The value of a key with its metadata.
 #[derive(Clone, Debug)]
 pub struct Item {
     /// In base64.
@@ -14,8 +14,8 @@
 }
 
 impl Item {
-    /// The item as the service sends it.
-    pub fn told(&self, key: &str) -> Value {
+    /// The item in the JSON form of the service.
+    pub fn to_json(&self, key: &str) -> Value {
         json!({
             "privateKey": key,
             "value": self.value,
@@ -26,28 +26,28 @@
     }
 }
 
-/// All that is lost where an older copy is brought back.
+/// Everything that a restore replaces.
 #[derive(Clone, Debug, Default)]
-pub struct Held {
+pub struct Contents {
     pub revision: u64,
     pub items: BTreeMap<String, Item>,
-    /// All changes that are kept, by revision.
+    /// The changes that are not compacted, by revision.
     pub history: Vec<(u64, Value)>,
-    /// How many leases have been granted; the numbers of those that have not ended.
+    /// Number of leases granted; the last one's id.
     granted: u64,
+    /// Ids of the leases that have not ended.
     leases: Vec<u64>,
 }
 
-impl Held {
-    /// Writes under a key, with a lease or none.
+impl Contents {
+    /// Writes a key; `lease` 0 stands for none.
     pub fn put(&mut self, key: &str, value: String, lease: u64) {
         self.revision += 1;
         let item = Item { value, revision: self.revision, lease };
-        self.history.push((self.revision, item.told(key)));
+        self.history.push((self.revision, item.to_json(key)));
         self.items.insert(key.to_owned(), item);
     }
 
-    /// Removes a key.
     pub fn remove(&mut self, key: &str) {
         if self.items.remove(key).is_none() {
             return;
@@ -57,23 +57,24 @@
         self.history.push((self.revision, gone));
     }
 
-    /// Grants a lease.
+    /// Grants a lease and returns its id.
     pub fn grant(&mut self) -> u64 {
         self.granted += 1;
         self.leases.push(self.granted);
         self.granted
     }
 
-    /// Whether a lease is known.
-    pub fn knows(&self, lease: u64) -> bool {
+    /// Whether a lease was granted and has not ended.
+    pub fn has_lease(&self, lease: u64) -> bool {
         self.leases.contains(&lease)
     }
 
-    /// Ends a lease and removes what was written with it.
+    /// Ends a lease and removes its keys.
     pub fn end(&mut self, lease: u64) {
-        self.leases.retain(|it| *it != lease);
-        let of_it = |(_, item): &(&String, &Item)| item.lease == lease;
-        let keys: Vec<_> = self.items.iter().filter(of_it).map(|(key, _)| key.clone()).collect();
+        self.leases.retain(|other| *other != lease);
+        let has_lease = |(_, item): &(&String, &Item)| item.lease == lease;
+        let keys: Vec<_> =
+            self.items.iter().filter(has_lease).map(|(key, _)| key.clone()).collect();
         for key in keys {
             self.remove(&key);
         }
--- a/tests/platform/standin/http.rs
+++ b/tests/platform/standin/http.rs
@@ -1,21 +1,21 @@
-//! Just enough of HTTP for stand-ins that have to misbehave.
+//! A minimal HTTP/1.1 request parser for the stand-ins.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read};
 use std::net::TcpStream;
 use std::time::Instant;
 
-/// A request as it came.
+/// A received request.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub method: String,
     pub target: String,
-    /// By name in lower case.
+    /// By lower-case name.
     pub headers: BTreeMap<String, String>,
     pub body: Vec<u8>,
-    pub came: Instant,
-    /// Whether it was refused without being run.
-    pub turned_away: bool,
+    pub received_at: Instant,
+    /// Whether it was refused without being executed.
+    pub refused: bool,
 }
 
 impl Request {
@@ -28,26 +28,25 @@
         let mut words = line.split_whitespace();
         let (method, target) = (words.next()?.to_owned(), words.next()?.to_owned());
         let headers = read_headers(stream)?;
-        let length = headers.get("content-length").map_or(Some(0), |it| it.parse().ok())?;
+        let length = headers.get("content-length").map_or(Some(0), |value| value.parse().ok())?;
         let mut body = vec![0; length];
         stream.read_exact(&mut body).ok()?;
-        Some(Self { method, target, headers, body, came: Instant::now(), turned_away: false })
+        Some(Self { method, target, headers, body, received_at: Instant::now(), refused: false })
     }
 
-    /// A header.
+    /// The value of a header; `name` in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).map(String::as_str)
     }
 
-    /// A value of the query.
+    /// The value of a query parameter, not decoded.
     pub fn query(&self, name: &str) -> Option<&str> {
         let (_, query) = self.target.split_once('?')?;
         query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
     }
 }
 
-/// Reads header lines up to the empty one. The values of a header that comes more
-/// than once are joined.
+/// Reads header lines up to the empty one. Values of a repeated header are joined with commas.
 pub fn read_headers(stream: &mut impl BufRead) -> Option<BTreeMap<String, String>> {
     let mut headers = BTreeMap::new();
     loop {
--- a/tests/platform/standin/mod.rs
+++ b/tests/platform/standin/mod.rs
@@ -1,6 +1,6 @@
-//! Stand-ins of the platform's store and upstreams, spoken to over HTTP.
+//! Stand-ins of the platform's store and upstreams, served over HTTP.
 
-mod held;
+mod contents;
 mod http;
 mod store;
 mod upstream;
@@ -8,5 +8,5 @@
 
 pub use http::{Request, read_headers};
 pub use store::{Mode, Store};
-pub use upstream::{Act, Upstream};
-pub use word::{ROUTER, Rest, router};
+pub use upstream::{Action, Upstream};
+pub use word::{Backoff, ROUTER_HEADER, sender};
--- a/tests/platform/standin/store.rs
+++ b/tests/platform/standin/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's key-value service, for reading and watching.
+//! A stand-in of the platform's key-value store with reads, watches, writes and leases.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,12 +10,12 @@
 use serde_json::{Value, json};
 
 use super::Request;
-use super::held::Held;
+use super::contents::Contents;
 
-/// How the service answers.
+/// How the store answers at one of its endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// As it should.
+    /// Normally.
     #[default]
     Up,
     /// With 503.
@@ -26,100 +26,100 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// How it answers at each of its addresses.
+    /// By endpoint.
     modes: Vec<Mode>,
-    held: Held,
-    copy: Held,
-    /// How often the service has come back from a copy, as its answers say.
+    contents: Contents,
+    backup: Contents,
+    /// Number of restores, as sent in the header `store-era`.
     era: u64,
-    /// Changes up to this revision are no longer kept.
-    forgotten: u64,
-    /// Connections with a lower number say nothing any more.
-    silenced: usize,
+    /// Changes up to this revision are gone from the history.
+    compacted: u64,
+    /// Connections with a lower number get no answers.
+    first_answered: usize,
     connections: usize,
     calls: usize,
     targets: Vec<String>,
-    /// What calls asked for while somebody waited for changes on another connection.
-    beside_watches: Vec<String>,
-    /// How many wait for changes.
-    waiting: usize,
-    /// How many bytes of an answer go out in a tenth of a second; all at once, if zero.
-    pace: usize,
-    /// How many items a page holds; all, if zero.
-    page: usize,
-    /// How many bytes of an answer go out at most; all, if zero.
-    most: usize,
+    /// Targets of the requests that arrived while a watch was open on another connection.
+    targets_during_watches: Vec<String>,
+    /// Number of open watches.
+    watches: usize,
+    /// Bytes of an answer sent per 100 ms; unlimited if zero.
+    send_rate: usize,
+    /// Items per page of a range; unlimited if zero.
+    page_size: usize,
+    /// Bytes of an answer after which sending stops; unlimited if zero.
+    answer_limit: usize,
 }
 
-/// The service; it serves until the test ends.
+/// A store that serves until the test process ends. Clones share its contents.
 #[derive(Clone, Debug)]
 pub struct Store {
     pub address: SocketAddr,
-    /// Which of its addresses this is.
-    door: usize,
+    /// Index of this endpoint.
+    endpoint: usize,
     state: Arc<(Mutex<State>, Condvar)>,
 }
 
 impl Store {
-    /// An empty service on `host`.
+    /// Starts an empty store on `host`.
     pub fn start(host: &str) -> Self {
         Self::open(host, Arc::default())
     }
 
-    /// The same service at a further address, at which it may answer in another way.
-    pub fn door(&self, host: &str) -> Self {
+    /// Opens a further endpoint of the same store, with a mode of its own.
+    pub fn add_endpoint(&self, host: &str) -> Self {
         Self::open(host, self.state.clone())
     }
 
     fn open(host: &str, state: Arc<(Mutex<State>, Condvar)>) -> Self {
         let listener = TcpListener::bind((host, 0)).expect("the stand-in can listen");
         let address = listener.local_addr().expect("the stand-in has an address");
-        let mut doors = state.0.lock().expect("no stand-in panics");
-        let door = doors.modes.len();
-        doors.modes.push(Mode::Up);
-        drop(doors);
-        let store = Self { address, door, state };
-        let served = store.clone();
+        let mut endpoints = state.0.lock().expect("the lock is not poisoned");
+        let endpoint = endpoints.modes.len();
+        endpoints.modes.push(Mode::Up);
+        drop(endpoints);
+        let store = Self { address, endpoint, state };
+        let server = store.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let store = served.clone();
+                let store = server.clone();
                 std::thread::spawn(move || store.serve(stream));
             }
         });
         store
     }
 
-    /// Changes how the service answers at this address.
+    /// Sets the mode of this endpoint.
     pub fn set_mode(&self, mode: Mode) {
-        self.lock().modes[self.door] = mode;
+        self.lock().modes[self.endpoint] = mode;
         self.state.1.notify_all();
     }
 
-    /// The keys that begin with `prefix`.
+    /// The keys with this prefix.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let state = self.lock();
-        state.held.items.keys().filter(|it| it.starts_with(prefix)).cloned().collect()
+        state.contents.items.keys().filter(|target| target.starts_with(prefix)).cloned().collect()
     }
 
-    /// Has the connections that are open fall silent for good; new ones work.
+    /// Stops answering on the connections that are open; new ones are served.
     pub fn silence_connections(&self) {
         let mut state = self.lock();
-        state.silenced = state.connections;
+        state.first_answered = state.connections;
     }
 
-    /// Has answers go out at `bytes` in a tenth of a second.
-    pub fn set_pace(&self, bytes: usize) {
-        self.lock().pace = bytes;
+    /// Limits the rate of answers, in bytes per 100 ms.
+    pub fn set_send_rate(&self, bytes: usize) {
+        self.lock().send_rate = bytes;
     }
 
-    /// Has answers break off without an end after `bytes`, as on a link that takes no more in time.
-    pub fn set_most(&self, bytes: usize) {
-        self.lock().most = bytes;
+    /// Stalls answers after this many bytes, as on a slow link.
+    pub fn set_answer_limit(&self, bytes: usize) {
+        self.lock().answer_limit = bytes;
     }
 
-    /// Has a page hold `items` items.
-    pub fn set_page(&self, items: usize) {
-        self.lock().page = items;
+    /// Sets the number of items per page of a range.
+    pub fn set_page_size(&self, items: usize) {
+        self.lock().page_size = items;
     }
 
     /// Writes a JSON value.
@@ -127,98 +127,96 @@
         self.put_text(key, &value.to_string());
     }
 
-    /// Writes a text as it is.
+    /// Writes text unchanged.
     pub fn put_text(&self, key: &str, text: &str) {
         self.put_bytes(key, text.as_bytes());
     }
 
-    /// Writes bytes as they are.
+    /// Writes bytes unchanged.
     pub fn put_bytes(&self, key: &str, bytes: &[u8]) {
         self.put_with(key, STANDARD.encode(bytes), 0);
     }
 
-    /// Removes a key.
     pub fn remove(&self, key: &str) {
-        self.lock().held.remove(key);
+        self.lock().contents.remove(key);
         self.state.1.notify_all();
     }
 
     fn put_with(&self, key: &str, value: String, lease: u64) {
-        self.lock().held.put(key, value, lease);
+        self.lock().contents.put(key, value, lease);
         self.state.1.notify_all();
     }
 
-    /// Copies what it holds.
-    pub fn copy(&self) {
+    /// Saves a backup of the contents.
+    pub fn back_up(&self) {
         let mut state = self.lock();
-        state.copy = state.held.clone();
+        state.backup = state.contents.clone();
     }
 
-    /// Comes back with what it held at the last copy; what was written since is gone.
-    pub fn come_back_older(&self) {
+    /// Restores the last backup, which discards all later writes, and starts the next era.
+    pub fn restore_backup(&self) {
         let mut state = self.lock();
-        state.held = state.copy.clone();
+        state.contents = state.backup.clone();
         state.era += 1;
         self.state.1.notify_all();
     }
 
-    /// Has its answers tell another era.
-    pub fn tell_era(&self, era: u64) {
+    /// Sets the era sent with answers.
+    pub fn set_era(&self, era: u64) {
         self.lock().era = era;
     }
 
-    /// Grants a lease to another writer, and writes with it.
+    /// Writes with a new lease, as another client would. Returns the lease.
     pub fn put_leased(&self, key: &str, text: &str) -> u64 {
-        let lease = self.lock().held.grant();
+        let lease = self.lock().contents.grant();
         self.put_with(key, STANDARD.encode(text), lease);
         lease
     }
 
-    /// Ends a lease, and what was written with it.
+    /// Ends a lease and removes its keys.
     pub fn end_lease(&self, lease: u64) {
-        self.lock().held.end(lease);
+        self.lock().contents.end(lease);
         self.state.1.notify_all();
     }
 
-    /// Forgets all changes so far.
-    pub fn forget(&self) {
+    /// Discards the history of changes up to now.
+    pub fn compact(&self) {
         let mut state = self.lock();
-        state.forgotten = state.held.revision;
-        state.held.history.clear();
+        state.compacted = state.contents.revision;
+        state.contents.history.clear();
     }
 
-    /// Whether a key is there.
-    pub fn holds(&self, key: &str) -> bool {
-        self.lock().held.items.contains_key(key)
+    pub fn contains_key(&self, key: &str) -> bool {
+        self.lock().contents.items.contains_key(key)
     }
 
-    /// What stands under a key.
+    /// The value of a key as text.
     pub fn text(&self, key: &str) -> Option<String> {
         Some(String::from_utf8(self.bytes(key)?).expect("a text"))
     }
 
-    /// The same, whatever it is.
+    /// The value of a key.
     pub fn bytes(&self, key: &str) -> Option<Vec<u8>> {
-        Some(STANDARD.decode(&self.lock().held.items.get(key)?.value).expect("base64"))
+        Some(STANDARD.decode(&self.lock().contents.items.get(key)?.value).expect("base64"))
     }
 
-    /// What the calls that have come asked for.
+    /// Targets of all requests received.
     pub fn targets(&self) -> Vec<String> {
         self.lock().targets.clone()
     }
 
-    /// What calls asked for while somebody waited for changes.
-    pub fn beside_watches(&self) -> Vec<String> {
-        self.lock().beside_watches.clone()
+    /// Targets of the requests that arrived while a watch was open on another connection.
+    pub fn targets_during_watches(&self) -> Vec<String> {
+        self.lock().targets_during_watches.clone()
     }
 
-    /// How many calls have come.
+    /// Number of requests received.
     pub fn calls(&self) -> usize {
         self.lock().calls
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.0.lock().expect("no stand-in panics")
+        self.state.0.lock().expect("the lock is not poisoned")
     }
 
     fn serve(&self, stream: TcpStream) {
@@ -229,20 +227,20 @@
         state.connections += 1;
         drop(state);
         while let Some(request) = Request::read(&mut reader) {
-            if number < self.lock().silenced {
+            if number < self.lock().first_answered {
                 continue;
             }
             let mut state = self.lock();
-            if state.waiting > 0 {
-                state.beside_watches.push(request.target.clone());
+            if state.watches > 0 {
+                state.targets_during_watches.push(request.target.clone());
             }
             if request.target.starts_with("/v1/kv-watch?") {
-                state.waiting += 1;
+                state.watches += 1;
             }
             drop(state);
             let Some((status, body)) = self.answer(&request) else { return };
             if request.target.starts_with("/v1/kv-watch?") {
-                self.lock().waiting -= 1;
+                self.lock().watches -= 1;
             }
             let body = body.to_string();
             let head = format!(
@@ -256,19 +254,19 @@
         }
     }
 
-    /// Sends an answer, at the pace that is set.
+    /// Sends an answer within the limits set for size and rate.
     fn send(&self, writer: &mut TcpStream, answer: &[u8]) -> std::io::Result<()> {
-        let pace = self.lock().pace;
-        let most = self.lock().most;
-        if most > 0 && answer.len() > most {
-            writer.write_all(&answer[..most])?;
+        let send_rate = self.lock().send_rate;
+        let answer_limit = self.lock().answer_limit;
+        if answer_limit > 0 && answer.len() > answer_limit {
+            writer.write_all(&answer[..answer_limit])?;
             std::thread::sleep(Duration::from_secs(30));
         }
-        if pace == 0 {
+        if send_rate == 0 {
             return writer.write_all(answer);
         }
-        for part in answer.chunks(pace) {
-            writer.write_all(part)?;
+        for chunk in answer.chunks(send_rate) {
+            writer.write_all(chunk)?;
             std::thread::sleep(Duration::from_millis(100));
         }
         Ok(())
@@ -277,7 +275,7 @@
     fn answer(&self, request: &Request) -> Option<(u16, Value)> {
         self.lock().calls += 1;
         self.lock().targets.push(request.target.clone());
-        let mode = self.lock().modes[self.door];
+        let mode = self.lock().modes[self.endpoint];
         match mode {
             Mode::Up => {}
             Mode::Busy => return Some((503, json!({}))),
@@ -293,45 +291,47 @@
         if request.target.starts_with("/v1/kv-key?") {
             let key = request.query("privateKey").unwrap_or("").to_owned();
             let state = self.lock();
-            let found = state.held.items.get(&key).map(|it| it.told(&key));
-            return Some(found.map_or((404, json!({})), |mut it| {
-                it["timestamp"] = state.held.revision.into();
-                (200, it)
+            let found = state.contents.items.get(&key).map(|item| item.to_json(&key));
+            return Some(found.map_or((404, json!({})), |mut item| {
+                item["timestamp"] = state.contents.revision.into();
+                (200, item)
             }));
         }
         if request.target.starts_with("/v1/kv-watch?") {
-            let number = |name| request.query(name).and_then(|it| it.parse().ok()).unwrap_or(0);
+            let number =
+                |name| request.query(name).and_then(|value| value.parse().ok()).unwrap_or(0);
             return Some(self.watch(&prefix, number("after"), number("waitMs")));
         }
         Some(self.lease(request))
     }
 
-    /// Leases are granted and never lapse.
+    /// Handles leases, which never expire, and transactions.
     fn lease(&self, request: &Request) -> (u16, Value) {
         let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
         let number = |path: &str| request.target.strip_prefix(path)?.parse::<u64>().ok();
         if request.target == "/v1/kv-lease" {
-            return (200, json!({ "lease": self.lock().held.grant(), "ttlMs": body["ttlMs"] }));
+            return (200, json!({ "lease": self.lock().contents.grant(), "ttlMs": body["ttlMs"] }));
         }
         if request.target == "/v1/kv-txn" {
-            return self.change(&body);
+            return self.transact(&body);
         }
         if let Some(lease) = number("/v1/kv-lease-end/") {
-            self.lock().held.end(lease);
+            self.lock().contents.end(lease);
             self.state.1.notify_all();
             return (200, json!({}));
         }
-        let known = number("/v1/kv-keep/").is_some_and(|it| self.lock().held.knows(it));
+        let known =
+            number("/v1/kv-keep/").is_some_and(|lease| self.lock().contents.has_lease(lease));
         (if known { 200 } else { 404 }, json!({}))
     }
 
-    /// Writes and removes what a call asks for.
-    fn change(&self, body: &Value) -> (u16, Value) {
+    /// Applies a transaction.
+    fn transact(&self, body: &Value) -> (u16, Value) {
         let list = |name: &str| body[name].as_array().cloned().unwrap_or_default();
         for write in list("writes") {
             let text = |name: &str| write[name].as_str().expect("a text").to_owned();
             let lease = write["lease"].as_u64().unwrap_or_default();
-            if lease > 0 && !self.lock().held.knows(lease) {
+            if lease > 0 && !self.lock().contents.has_lease(lease) {
                 return (404, json!({}));
             }
             self.put_with(&text("privateKey"), text("value"), lease);
@@ -339,43 +339,48 @@
         for key in list("remove") {
             self.remove(key.as_str().expect("a key"));
         }
-        (200, json!({ "revision": self.lock().held.revision }))
+        (200, json!({ "revision": self.lock().contents.revision }))
     }
 
     fn range(&self, prefix: &str, after: &str) -> Value {
         let state = self.lock();
         let mut items: Vec<_> = state
-            .held
+            .contents
             .items
             .iter()
             .filter(|(key, _)| key.starts_with(prefix) && key.as_str() > after)
-            .map(|(key, it)| it.told(key))
+            .map(|(key, item)| item.to_json(key))
             .collect();
-        let more = state.page > 0 && items.len() > state.page;
+        let more = state.page_size > 0 && items.len() > state.page_size;
         if more {
-            items.truncate(state.page);
+            items.truncate(state.page_size);
         }
-        json!({ "items": items, "morePages": more, "timestamp": state.held.revision })
+        json!({ "items": items, "morePages": more, "timestamp": state.contents.revision })
     }
 
     fn watch(&self, prefix: &str, after: u64, wait_ms: u64) -> (u16, Value) {
         let until = Instant::now() + Duration::from_millis(wait_ms);
         let mut state = self.lock();
         loop {
-            if after < state.forgotten || after > state.held.revision {
+            if after < state.compacted || after > state.contents.revision {
                 return (410, json!({}));
             }
-            let wanted = |(revision, event): &&(u64, Value)| {
+            let is_match = |(revision, event): &&(u64, Value)| {
                 let key = event["privateKey"].as_str().unwrap_or("");
                 *revision > after && key.starts_with(prefix)
             };
-            let events: Vec<_> =
-                state.held.history.iter().filter(wanted).map(|(_, event)| event.clone()).collect();
+            let events: Vec<_> = state
+                .contents
+                .history
+                .iter()
+                .filter(is_match)
+                .map(|(_, event)| event.clone())
+                .collect();
             let left = until.saturating_duration_since(Instant::now());
             if !events.is_empty() || left.is_zero() {
-                return (200, json!({ "events": events, "timestamp": state.held.revision }));
+                return (200, json!({ "events": events, "timestamp": state.contents.revision }));
             }
-            state = self.state.1.wait_timeout(state, left).expect("no stand-in panics").0;
+            state = self.state.1.wait_timeout(state, left).expect("the lock is not poisoned").0;
         }
     }
 }
--- a/tests/platform/standin/upstream.rs
+++ b/tests/platform/standin/upstream.rs
@@ -1,4 +1,4 @@
-//! A stand-in of an upstream that answers, or fails to, as a test says.
+//! A stand-in of an upstream that answers or fails as a test sets it.
 
 use std::collections::BTreeMap;
 use std::io::{BufReader, Read, Write};
@@ -11,75 +11,74 @@
 use nix::sys::socket::{Shutdown, setsockopt, shutdown, sockopt};
 use serde_json::{Value, json};
 
-use super::word::Word;
-use super::{Request, Rest};
+use super::word::Feedback;
+use super::{Backoff, Request};
 
-/// What the stand-in does with a request.
+/// What the stand-in does with a request. Times are in milliseconds.
 #[derive(Clone, Debug)]
-pub enum Act {
-    /// A whole answer.
+pub enum Action {
+    /// A complete answer with this status and body.
     Answer(u16, &'static str),
-    /// The same after some milliseconds.
-    Late(u64, u16, &'static str),
-    /// An answer with another request's id.
+    /// A complete answer after a delay.
+    Delayed(u64, u16, &'static str),
+    /// An answer with the id of another request.
     Crossed,
-    /// A success without the upstream's proof.
+    /// A success without the seal.
     Unsigned,
-    /// A second whole answer right after the first.
+    /// Two complete answers.
     Extra,
-    /// A body that is shorter than the head says; then the connection ends.
-    Short,
-    /// A body without a length that ends with the connection.
+    /// A body shorter than its content length, then the end of the connection.
+    Truncated,
+    /// A body without a length, ended by closing the connection.
     Unframed(&'static str),
-    /// The same, but the connection is reset.
+    /// A body without a length, then a reset of the connection.
     Reset(&'static str),
-    /// 503: the request has not run.
+    /// 503: the request was not executed.
     NotRun,
-    /// The same, and nothing more is wanted of that router for a while.
-    Rest(Duration),
-    /// A whole answer after some milliseconds that tells no load, or 503 (not run) while so many
-    /// requests are worked on.
-    Room(usize, u64),
-    /// 421: another upstream has this address.
+    /// 503: not executed, with a backoff for the router.
+    Backoff(Duration),
+    /// A complete answer without a load after a delay, or 503 (not executed) while this many
+    /// requests are in progress.
+    Capacity(usize, u64),
+    /// 421 with the instance name of another upstream.
     Misdirected,
-    /// The connection ends without an answer.
+    /// The end of the connection without an answer.
     Close,
-    /// Nothing for a while, in milliseconds; then the connection ends.
+    /// The end of the connection after a delay, without an answer.
     Silent(u64),
-    /// Events `from` to `to`, some milliseconds apart, then the regular end.
+    /// Events from the first number to the second, this far apart, then the end of the stream.
     Events(u64, u64, u64),
-    /// The same, but the connection breaks inside the event after the last one.
+    /// Events from the first number to the second, then a connection that breaks inside an event.
     Broken(u64, u64),
-    /// One event, then nothing until the caller leaves.
+    /// One event, then nothing until the client disconnects.
     Stalled,
-    /// The upstream ends, and all that it was doing with it.
+    /// A crash of the upstream.
     Crash,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    /// What to do next; the last one stays.
-    acts: Vec<Act>,
+    /// Actions for the next requests; the last one is repeated.
+    actions: Vec<Action>,
     requests: Vec<Request>,
-    /// Requests that are worked on, where there is room for a few only, and those that found none.
-    working: usize,
-    found_no_room: usize,
-    /// Connections that ended while the stand-in was writing.
-    left: usize,
-    /// Connections with a lower number say nothing any more.
-    silenced: usize,
+    /// Requests in progress under [`Action::Capacity`], and those refused for lack of it.
+    in_progress: usize,
+    over_capacity: usize,
+    /// Connections that ended during an answer.
+    disconnects: usize,
+    /// Connections with a lower number get no answers.
+    first_answered: usize,
     connections: usize,
-    /// Requests with this body have the upstream end.
+    /// Body of requests that crash the upstream.
     fatal: Option<&'static str>,
-    /// What it says of itself with its answers.
-    word: Word,
-    /// What ends with the upstream; empty once it has ended.
+    /// Notices sent with answers.
+    feedback: Feedback,
+    /// `None` once the upstream has crashed.
     listener: Option<TcpListener>,
-    /// The connections that stand, by number.
-    open: BTreeMap<usize, TcpStream>,
+    open_connections: BTreeMap<usize, TcpStream>,
 }
 
-/// The upstream; it serves until the test ends.
+/// An upstream that serves until it crashes or the test process ends. Clones share its state.
 #[derive(Clone, Debug)]
 pub struct Upstream {
     pub name: String,
@@ -89,97 +88,97 @@
 }
 
 impl Upstream {
-    /// An upstream on `host` that gives whole answers.
+    /// Starts an upstream on `host` that gives complete answers.
     pub fn start(host: &str, name: &str, service: &str) -> Self {
         let listener = TcpListener::bind((host, 0)).expect("the stand-in can listen");
         let address = listener.local_addr().expect("the stand-in has an address");
-        let kept = listener.try_clone().expect("a listener");
-        let acts = vec![Act::Answer(200, "whole")];
-        let state = State { acts, listener: Some(kept), ..State::default() };
+        let stored_listener = listener.try_clone().expect("a listener");
+        let actions = vec![Action::Answer(200, "whole")];
+        let state = State { actions, listener: Some(stored_listener), ..State::default() };
         let upstream = Self {
             name: name.to_owned(),
             service: service.to_owned(),
             address,
             state: Arc::new(Mutex::new(state)),
         };
-        let served = upstream.clone();
+        let server = upstream.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let upstream = served.clone();
+                let upstream = server.clone();
                 std::thread::spawn(move || upstream.serve(stream));
             }
         });
         upstream
     }
 
-    /// What to do with the next requests; the last act stays.
-    pub fn set(&self, acts: &[Act]) {
-        self.state.lock().expect("no stand-in panics").acts = acts.to_vec();
+    /// Sets the actions for the next requests; the last one is repeated.
+    pub fn set_actions(&self, actions: &[Action]) {
+        self.state.lock().expect("the lock is not poisoned").actions = actions.to_vec();
     }
 
-    /// Has requests with this body end the upstream.
+    /// Makes requests with this body crash the upstream.
     pub fn set_fatal(&self, body: &'static str) {
-        self.state.lock().expect("no stand-in panics").fatal = Some(body);
+        self.state.lock().expect("the lock is not poisoned").fatal = Some(body);
     }
 
-    /// Has it turn every request away and ask for this rest each time, or no more.
-    pub fn set_rest(&self, rest: Option<Duration>) {
-        self.state.lock().expect("no stand-in panics").word.rest = rest;
+    /// Refuses every request with this backoff, or none.
+    pub fn set_backoff(&self, backoff: Option<Duration>) {
+        self.state.lock().expect("the lock is not poisoned").feedback.backoff = backoff;
     }
 
-    /// Has it say with every answer that it leaves.
-    pub fn leave(&self) {
-        self.state.lock().expect("no stand-in panics").word.leaves = true;
+    /// Announces with every answer that the upstream is leaving.
+    pub fn announce_leaving(&self) {
+        self.state.lock().expect("the lock is not poisoned").feedback.is_leaving = true;
     }
 
-    /// The rests that it has asked for.
-    pub fn rests(&self) -> Vec<Rest> {
-        self.state.lock().expect("no stand-in panics").word.rests.clone()
+    /// The backoffs sent to routers.
+    pub fn backoffs(&self) -> Vec<Backoff> {
+        self.state.lock().expect("the lock is not poisoned").feedback.backoffs.clone()
     }
 
-    /// When it first told each router that it leaves, by the routers' own names.
-    pub fn told_leaving(&self) -> BTreeMap<String, Instant> {
-        self.state.lock().expect("no stand-in panics").word.told_leaving.clone()
+    /// When each router was first sent the leaving notice, by the router's header value.
+    pub fn leaving_sent_at(&self) -> BTreeMap<String, Instant> {
+        self.state.lock().expect("the lock is not poisoned").feedback.leaving_sent_at.clone()
     }
 
-    /// Ends the upstream: connections to it are refused, and those that stand end.
+    /// Closes the listener and all connections.
     pub fn crash(&self) {
-        let mut state = self.state.lock().expect("no stand-in panics");
+        let mut state = self.state.lock().expect("the lock is not poisoned");
         if let Some(listener) = state.listener.take() {
             let _ = shutdown(listener.as_raw_fd(), Shutdown::Both);
         }
-        for stream in state.open.values() {
+        for stream in state.open_connections.values() {
             let _ = stream.shutdown(std::net::Shutdown::Both);
         }
     }
 
-    /// Has the connections that are open fall silent for good; new ones work.
+    /// Stops answering on the connections that are open; new ones are served.
     pub fn silence_connections(&self) {
-        let mut state = self.state.lock().expect("no stand-in panics");
-        state.silenced = state.connections;
+        let mut state = self.state.lock().expect("the lock is not poisoned");
+        state.first_answered = state.connections;
     }
 
-    /// The requests that have come.
+    /// All requests received.
     pub fn requests(&self) -> Vec<Request> {
-        self.state.lock().expect("no stand-in panics").requests.clone()
+        self.state.lock().expect("the lock is not poisoned").requests.clone()
     }
 
-    /// How many requests found no room.
-    pub fn found_no_room(&self) -> usize {
-        self.state.lock().expect("no stand-in panics").found_no_room
+    /// Number of requests refused for lack of capacity.
+    pub fn over_capacity(&self) -> usize {
+        self.state.lock().expect("the lock is not poisoned").over_capacity
     }
 
-    /// How many callers left while their answer was being written.
-    pub fn left(&self) -> usize {
-        self.state.lock().expect("no stand-in panics").left
+    /// Number of clients that disconnected during an answer.
+    pub fn disconnects(&self) -> usize {
+        self.state.lock().expect("the lock is not poisoned").disconnects
     }
 
-    /// The key of its entry in the store.
+    /// The key of the upstream's entry in the store.
     pub fn key(&self) -> String {
         format!("servers/{}", self.name)
     }
 
-    /// Its entry in the store.
+    /// The upstream's entry in the store.
     pub fn entry(&self, state: &str, sequence: u64) -> Value {
         json!({
             "service": self.service,
@@ -195,26 +194,28 @@
     }
 
     fn serve(&self, stream: TcpStream) {
-        let mut state = self.state.lock().expect("no stand-in panics");
+        let mut state = self.state.lock().expect("the lock is not poisoned");
         let number = state.connections;
         state.connections += 1;
-        state.open.insert(number, stream.try_clone().expect("the stand-in's connection"));
+        state
+            .open_connections
+            .insert(number, stream.try_clone().expect("the stand-in's connection"));
         drop(state);
-        self.answer_all(number, stream);
-        self.state.lock().expect("no stand-in panics").open.remove(&number);
+        self.handle_requests(number, stream);
+        self.state.lock().expect("the lock is not poisoned").open_connections.remove(&number);
     }
 
-    /// Answers the requests of connection `number` until it ends.
-    fn answer_all(&self, number: usize, stream: TcpStream) {
+    /// Handles the requests of connection `number` until it ends.
+    fn handle_requests(&self, number: usize, stream: TcpStream) {
         let mut writer = stream.try_clone().expect("the stand-in's connection");
         let mut reader = BufReader::new(stream);
         while let Some(request) = Request::read(&mut reader) {
-            if number < self.state.lock().expect("no stand-in panics").silenced {
+            if number < self.state.lock().expect("the lock is not poisoned").first_answered {
                 continue;
             }
-            let act = self.next(&request);
-            if !self.act(&act, &request, &mut writer) {
-                if !matches!(act, Act::Reset(_)) {
+            let action = self.next_action(&request);
+            if !self.perform(&action, &request, &mut writer) {
+                if !matches!(action, Action::Reset(_)) {
                     let _ = writer.shutdown(std::net::Shutdown::Both);
                 }
                 return;
@@ -222,127 +223,139 @@
         }
     }
 
-    fn next(&self, request: &Request) -> Act {
-        let mut state = self.state.lock().expect("no stand-in panics");
+    fn next_action(&self, request: &Request) -> Action {
+        let mut state = self.state.lock().expect("the lock is not poisoned");
         let fatal = state.fatal.is_some_and(|body| request.body == body.as_bytes());
-        let rest = state.word.rest.filter(|_| !fatal);
-        state.requests.push(Request { turned_away: rest.is_some(), ..request.clone() });
+        let backoff = state.feedback.backoff.filter(|_| !fatal);
+        state.requests.push(Request { refused: backoff.is_some(), ..request.clone() });
         if fatal {
-            return Act::Crash;
+            return Action::Crash;
         }
-        if let Some(rest) = rest {
-            return Act::Rest(rest);
+        if let Some(backoff) = backoff {
+            return Action::Backoff(backoff);
         }
-        if state.acts.len() > 1 { state.acts.remove(0) } else { state.acts[0].clone() }
+        if state.actions.len() > 1 { state.actions.remove(0) } else { state.actions[0].clone() }
     }
 
-    /// Carries out an act; returns whether the connection goes on.
-    fn act(&self, act: &Act, request: &Request, writer: &mut TcpStream) -> bool {
+    /// Performs an action; returns whether the connection stays open.
+    fn perform(&self, action: &Action, request: &Request, writer: &mut TcpStream) -> bool {
         let id = request.header("attempt-identifier").unwrap_or("").to_owned();
-        match act {
-            Act::Answer(status, body) => self.say(writer, request, &whole(*status, &id, body)),
-            Act::Late(ms, status, body) => {
+        match action {
+            Action::Answer(status, body) => {
+                self.send_with_notice(writer, request, &complete_answer(*status, &id, body))
+            }
+            Action::Delayed(ms, status, body) => {
                 std::thread::sleep(Duration::from_millis(*ms));
-                self.say(writer, request, &whole(*status, &id, body))
+                self.send_with_notice(writer, request, &complete_answer(*status, &id, body))
             }
-            Act::Crossed => send(writer, &whole(200, "another", "another's answer")),
-            Act::Unsigned => send(writer, &unsigned(&id)),
-            Act::Extra => {
-                send(writer, &whole(200, &id, "whole"));
-                send(writer, &whole(200, &id, "surplus"))
+            Action::Crossed => send(writer, &complete_answer(200, "another", "another's answer")),
+            Action::Unsigned => send(writer, &unsigned_answer(&id)),
+            Action::Extra => {
+                send(writer, &complete_answer(200, &id, "whole"));
+                send(writer, &complete_answer(200, &id, "surplus"))
             }
-            Act::Short => {
-                send(writer, &format!("{}content-length: 50\r\n\r\npart", head(200, &id)));
+            Action::Truncated => {
+                send(writer, &format!("{}content-length: 50\r\n\r\npart", answer_head(200, &id)));
                 false
             }
-            Act::Unframed(body) => {
-                send(writer, &unframed(&id, body));
+            Action::Unframed(body) => {
+                send(writer, &unframed_answer(&id, body));
                 false
             }
-            Act::Reset(body) => {
-                send(writer, &unframed(&id, body));
+            Action::Reset(body) => {
+                send(writer, &unframed_answer(&id, body));
                 let linger = nix::libc::linger { l_onoff: 1, l_linger: 0 };
                 setsockopt(&*writer, sockopt::Linger, &linger).expect("an option");
                 false
             }
-            Act::NotRun => self.say(writer, request, &not_run(&id)),
-            Act::Rest(rest) => {
-                let line = format!("\r\nretry-after: {}\r\n", rest.as_secs_f64());
-                self.state.lock().expect("no stand-in panics").word.ask(request, *rest);
-                self.say(writer, request, &not_run(&id).replacen("\r\n", &line, 1))
+            Action::NotRun => self.send_with_notice(writer, request, &not_run_answer(&id)),
+            Action::Backoff(backoff) => {
+                let line = format!("\r\nretry-after: {}\r\n", backoff.as_secs_f64());
+                self.state
+                    .lock()
+                    .expect("the lock is not poisoned")
+                    .feedback
+                    .record_backoff(request, *backoff);
+                self.send_with_notice(
+                    writer,
+                    request,
+                    &not_run_answer(&id).replacen("\r\n", &line, 1),
+                )
             }
-            Act::Room(room, ms) => {
-                let text = self.work(*room, *ms, &id);
-                self.say(writer, request, &text)
+            Action::Capacity(capacity, ms) => {
+                let text = self.work(*capacity, *ms, &id);
+                self.send_with_notice(writer, request, &text)
             }
-            Act::Misdirected => {
+            Action::Misdirected => {
                 send(writer, "HTTP/1.1 421 .\r\ninstance: other\r\ncontent-length: 0\r\n\r\n")
             }
-            Act::Close => false,
-            Act::Crash => {
+            Action::Close => false,
+            Action::Crash => {
                 self.crash();
                 false
             }
-            Act::Silent(ms) => {
+            Action::Silent(ms) => {
                 std::thread::sleep(Duration::from_millis(*ms));
                 false
             }
-            Act::Events(from, to, gap_ms) => {
-                self.events(writer, request, *from..=*to, *gap_ms) && send(writer, "0\r\n\r\n")
+            Action::Events(from, to, gap_ms) => {
+                self.send_events(writer, request, *from..=*to, *gap_ms) && send(writer, "0\r\n\r\n")
             }
-            Act::Stalled => {
+            Action::Stalled => {
                 self.stall(writer, request);
                 false
             }
-            Act::Broken(from, to) => {
-                self.events(writer, request, *from..=*to, 1);
+            Action::Broken(from, to) => {
+                self.send_events(writer, request, *from..=*to, 1);
                 send(writer, "9\r\nid: 99\nda\r\n");
                 false
             }
         }
     }
 
-    /// Works on a request if there is room; returns the answer.
-    fn work(&self, room: usize, ms: u64, id: &str) -> String {
-        let mut state = self.state.lock().expect("no stand-in panics");
-        if state.working >= room {
-            state.found_no_room += 1;
-            return not_run(id);
+    /// Processes a request if fewer than `capacity` are in progress; returns the answer.
+    fn work(&self, capacity: usize, ms: u64, id: &str) -> String {
+        let mut state = self.state.lock().expect("the lock is not poisoned");
+        if state.in_progress >= capacity {
+            state.over_capacity += 1;
+            return not_run_answer(id);
         }
-        state.working += 1;
+        state.in_progress += 1;
         drop(state);
         std::thread::sleep(Duration::from_millis(ms));
-        self.state.lock().expect("no stand-in panics").working -= 1;
-        whole(200, id, "whole").replacen("server-load: 1,0,8\r\n", "", 1)
+        self.state.lock().expect("the lock is not poisoned").in_progress -= 1;
+        complete_answer(200, id, "whole").replacen("server-load: 1,0,8\r\n", "", 1)
     }
 
-    /// Sends the head of an answer, with the word that it leaves if it does.
-    fn say(&self, writer: &mut TcpStream, request: &Request, text: &str) -> bool {
-        let line = self.state.lock().expect("no stand-in panics").word.leaving(request);
+    /// Sends an answer, with the leaving notice if it is announced.
+    fn send_with_notice(&self, writer: &mut TcpStream, request: &Request, text: &str) -> bool {
+        let line =
+            self.state.lock().expect("the lock is not poisoned").feedback.leaving_line(request);
         send(writer, &text.replacen("\r\n", &line, 1))
     }
 
-    /// Sends one event and waits for the caller to leave.
+    /// Sends one event and waits until the client disconnects.
     fn stall(&self, writer: &mut TcpStream, request: &Request) {
-        self.events(writer, request, 1..=1, 0);
+        self.send_events(writer, request, 1..=1, 0);
         let ended = writer.read(&mut [0]);
-        self.state.lock().expect("no stand-in panics").left += usize::from(!matches!(ended, Ok(1)));
+        self.state.lock().expect("the lock is not poisoned").disconnects +=
+            usize::from(!matches!(ended, Ok(1)));
     }
 
-    fn events(
+    fn send_events(
         &self,
         writer: &mut TcpStream,
         request: &Request,
         numbers: std::ops::RangeInclusive<u64>,
         gap_ms: u64,
     ) -> bool {
-        let head = head(200, request.header("attempt-identifier").unwrap_or(""));
+        let head = answer_head(200, request.header("attempt-identifier").unwrap_or(""));
         let start = "content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
-        self.say(writer, request, &format!("{head}{start}"));
+        self.send_with_notice(writer, request, &format!("{head}{start}"));
         for number in numbers {
             let event = format!("id: {number}\ndata: piece {number} of {}\n\n", self.name);
             if !send(writer, &format!("{:x}\r\n{event}\r\n", event.len())) {
-                self.state.lock().expect("no stand-in panics").left += 1;
+                self.state.lock().expect("the lock is not poisoned").disconnects += 1;
                 return false;
             }
             std::thread::sleep(Duration::from_millis(gap_ms));
@@ -351,27 +364,27 @@
     }
 }
 
-fn head(status: u16, id: &str) -> String {
+fn answer_head(status: u16, id: &str) -> String {
     format!(
         "HTTP/1.1 {status} .\r\nattempt-identifier: {id}\r\nserver-seal: proof.{id}\r\nserver-load: 1,0,8\r\n"
     )
 }
 
-/// A whole answer.
-fn whole(status: u16, id: &str, body: &str) -> String {
-    format!("{}content-length: {}\r\n\r\n{body}", head(status, id), body.len())
+/// A complete answer with this status and body.
+fn complete_answer(status: u16, id: &str, body: &str) -> String {
+    format!("{}content-length: {}\r\n\r\n{body}", answer_head(status, id), body.len())
 }
 
-/// An answer without a length.
-fn unframed(id: &str, body: &str) -> String {
-    format!("{}connection: close\r\n\r\n{body}", head(200, id))
+/// An answer without a content length.
+fn unframed_answer(id: &str, body: &str) -> String {
+    format!("{}connection: close\r\n\r\n{body}", answer_head(200, id))
 }
 
-fn unsigned(id: &str) -> String {
+fn unsigned_answer(id: &str) -> String {
     format!("HTTP/1.1 200 .\r\nattempt-identifier: {id}\r\ncontent-length: 4\r\n\r\nfake")
 }
 
-fn not_run(id: &str) -> String {
+fn not_run_answer(id: &str) -> String {
     let head = format!("HTTP/1.1 503 .\r\nattempt-identifier: {id}\r\n");
     format!("{head}not-executed: 1\r\ncontent-length: 0\r\n\r\n")
 }
--- a/tests/platform/standin/word.rs
+++ b/tests/platform/standin/word.rs
@@ -1,61 +1,61 @@
-//! What a stand-in of an upstream says of itself with its answers, and to whom.
+//! The backoffs and leaving notices that an upstream's stand-in sends, by router.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use super::Request;
 
-/// The header in which callers name the router that they ask.
-pub const ROUTER: &str = "x-router";
+/// Header by which callers identify the router; routers forward it.
+pub const ROUTER_HEADER: &str = "x-router";
 
-/// How long after a request for rest those may still come that were under way.
-const UNDER_WAY: Duration = Duration::from_millis(500);
+/// How long requests sent before the backoff may still arrive.
+const IN_FLIGHT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A rest that a router was asked for.
+/// A backoff sent to a router.
 #[derive(Clone, Debug)]
-pub struct Rest {
+pub struct Backoff {
     pub router: String,
-    pub asked: Instant,
-    pub lasts: Duration,
+    pub asked_at: Instant,
+    pub duration: Duration,
 }
 
-impl Rest {
-    /// Whether `request` came from that router in the time in which nothing was wanted.
-    pub fn is_broken_by(&self, request: &Request) -> bool {
-        let after = request.came.saturating_duration_since(self.asked);
-        router(request) == self.router && after > UNDER_WAY && after < self.lasts
+impl Backoff {
+    /// Whether `request` came from the router during the backoff.
+    pub fn is_violated_by(&self, request: &Request) -> bool {
+        let after = request.received_at.saturating_duration_since(self.asked_at);
+        sender(request) == self.router && after > IN_FLIGHT_TIMEOUT && after < self.duration
     }
 }
 
-/// What it says, and has said.
+/// The notices to send, and those sent.
 #[derive(Debug, Default)]
-pub struct Word {
-    /// Every request is turned away with this rest.
-    pub rest: Option<Duration>,
-    /// Every answer says that it leaves.
-    pub leaves: bool,
-    pub rests: Vec<Rest>,
-    pub told_leaving: BTreeMap<String, Instant>,
+pub struct Feedback {
+    /// Backoff with which every request is refused.
+    pub backoff: Option<Duration>,
+    /// Whether every answer has the leaving notice.
+    pub is_leaving: bool,
+    pub backoffs: Vec<Backoff>,
+    pub leaving_sent_at: BTreeMap<String, Instant>,
 }
 
-impl Word {
-    /// Takes down that the router which sent `request` is asked for rest.
-    pub fn ask(&mut self, request: &Request, lasts: Duration) {
-        let router = router(request);
-        self.rests.push(Rest { router, asked: Instant::now(), lasts });
+impl Feedback {
+    /// Records a backoff for the router that sent `request`.
+    pub fn record_backoff(&mut self, request: &Request, duration: Duration) {
+        let router = sender(request);
+        self.backoffs.push(Backoff { router, asked_at: Instant::now(), duration });
     }
 
-    /// The end of an answer's first line, and the one that says that it leaves, if it does.
-    pub fn leaving(&mut self, request: &Request) -> String {
-        if !self.leaves {
+    /// The end of an answer's status line, followed by the header `server-leaving` if announced.
+    pub fn leaving_line(&mut self, request: &Request) -> String {
+        if !self.is_leaving {
             return "\r\n".to_owned();
         }
-        self.told_leaving.entry(router(request)).or_insert_with(Instant::now);
+        self.leaving_sent_at.entry(sender(request)).or_insert_with(Instant::now);
         "\r\nserver-leaving: 1\r\n".to_owned()
     }
 }
 
-/// The router that sent a request; empty where there is one only.
-pub fn router(request: &Request) -> String {
-    request.header(ROUTER).unwrap_or("").to_owned()
+/// The router that sent a request; empty if callers do not identify it.
+pub fn sender(request: &Request) -> String {
+    request.header(ROUTER_HEADER).unwrap_or("").to_owned()
 }
--- a/tests/platform/streams.rs
+++ b/tests/platform/streams.rs
@@ -1,93 +1,96 @@
-//! Streams of events: whole, resumed, or visibly broken.
+//! Event streams that are complete, resumed or broken.
 
-use crate::router::{Router, configuration, headers, own_host};
-use crate::standin::{Act, Upstream};
+use crate::router::{Router, configuration, headers, unused_host};
+use crate::standin::{Action, Upstream};
 
 fn engine(name: &str) -> Upstream {
-    Upstream::start(&own_host(), name, "engine")
+    Upstream::start(&unused_host(), name, "engine")
 }
 
-/// The numbers of the events in a body.
-fn numbers(body: &str) -> Vec<u64> {
+/// The ids of the events in a body.
+fn event_ids(body: &str) -> Vec<u64> {
     body.lines().filter_map(|line| line.strip_prefix("id: ")?.parse().ok()).collect()
 }
 
 #[test]
-fn events_arrive_whole_and_in_order() {
+fn forwards_all_events_in_order() {
     let engine = engine("i-1");
-    engine.set(&[Act::Events(1, 5, 5)]);
+    engine.set_actions(&[Action::Events(1, 5, 5)]);
     let router = Router::start(&configuration(1), &[&engine]);
-    let answer = router.ask("POST /stream/x", &[], "b").unwrap();
+    let answer = router.request("POST /stream/x", &[], "b").unwrap();
     assert!(answer.whole);
-    assert_eq!(numbers(&answer.body), [1, 2, 3, 4, 5]);
+    assert_eq!(event_ids(&answer.body), [1, 2, 3, 4, 5]);
 }
 
 #[test]
-fn a_stream_that_can_not_be_resumed_breaks_visibly() {
+fn a_broken_stream_without_resumption_ends_incomplete() {
     let (one, two) = (engine("i-1"), engine("i-2"));
-    one.set(&[Act::Broken(1, 3)]);
-    two.set(&[Act::Broken(1, 3)]);
+    one.set_actions(&[Action::Broken(1, 3)]);
+    two.set_actions(&[Action::Broken(1, 3)]);
     let router = Router::start(&configuration(1), &[&one, &two]);
-    let answer = router.ask("POST /stream/x", &[], "b").unwrap();
+    let answer = router.request("POST /stream/x", &[], "b").unwrap();
     assert_eq!((answer.status, answer.whole), (200, false));
-    assert_eq!(answer.surplus, "", "bytes that are no part of the answer");
-    assert_eq!(numbers(&answer.body), [1, 2, 3]);
-    assert!(answer.body.ends_with("\n\n"), "a part of an event was passed on");
+    assert_eq!(answer.trailing, "", "bytes after the answer");
+    assert_eq!(event_ids(&answer.body), [1, 2, 3]);
+    assert!(answer.body.ends_with("\n\n"), "an incomplete event was forwarded");
     assert_eq!(one.requests().len() + two.requests().len(), 1);
 }
 
 #[test]
-fn a_broken_stream_goes_on_at_another_upstream() {
+fn resumes_a_broken_stream_at_another_upstream() {
     let (one, two) = (engine("i-1"), engine("i-2"));
-    for (this, that) in [(&one, &two), (&two, &one)] {
-        this.set(&[Act::Broken(1, 3)]);
-        that.set(&[Act::Broken(1, 3)]);
+    for (first, second) in [(&one, &two), (&two, &one)] {
+        first.set_actions(&[Action::Broken(1, 3)]);
+        second.set_actions(&[Action::Broken(1, 3)]);
     }
     let router = Router::start(&configuration(1), &[&one, &two]);
-    // Whichever is asked second goes on after what was passed on.
-    let second = |upstream: &Upstream| upstream.set(&[Act::Broken(1, 3), Act::Events(4, 6, 1)]);
-    second(&one);
-    second(&two);
-    let answer = router.ask("POST /resumed/x", &[("Prompt-Prefix", "aa:9,bb:1")], "b").unwrap();
+    // The second attempt continues after the last forwarded event.
+    let set_resumable = |upstream: &Upstream| {
+        upstream.set_actions(&[Action::Broken(1, 3), Action::Events(4, 6, 1)]);
+    };
+    set_resumable(&one);
+    set_resumable(&two);
+    let answer = router.request("POST /resumed/x", &[("Prompt-Prefix", "aa:9,bb:1")], "b").unwrap();
     let requests = [one.requests(), two.requests()].concat();
     assert_eq!(requests.len(), 2);
-    let resumed: Vec<_> = requests.iter().filter_map(|it| it.header("last-event-id")).collect();
+    let resumed: Vec<_> =
+        requests.iter().filter_map(|request| request.header("last-event-id")).collect();
     assert_eq!(resumed, ["3"]);
     assert_eq!(answer.headers["server-seal"], "proof.id-1");
-    assert!(!answer.whole, "the second one broke as well");
-    assert_eq!(numbers(&answer.body), [1, 2, 3]);
+    assert!(!answer.whole, "the second attempt broke as well");
+    assert_eq!(event_ids(&answer.body), [1, 2, 3]);
 }
 
 #[test]
-fn a_failure_to_go_on_with_a_stream_is_no_part_of_it() {
+fn does_not_forward_an_error_answer_to_a_resumption() {
     let (one, two) = (engine("i-1"), engine("i-2"));
-    one.set(&[Act::Broken(1, 3)]);
-    two.set(&[Act::Answer(500, "id: 4\ndata: failed\n\n")]);
+    one.set_actions(&[Action::Broken(1, 3)]);
+    two.set_actions(&[Action::Answer(500, "id: 4\ndata: failed\n\n")]);
     let router = Router::start(&configuration(1), &[&one, &two]);
-    // Chats differ in which upstream they go to first.
+    // The first choice of an upstream depends on the prompt.
     for chat in 0..12 {
         let prompt = format!("c{chat}:9,bb:1");
         let further = [("Model", "m"), ("Prompt-Prefix", &*prompt)];
-        let answer = router.ask("POST /resumed/x", &further, "b").unwrap();
+        let answer = router.request("POST /resumed/x", &further, "b").unwrap();
         assert_eq!((answer.status, answer.whole), (200, false));
-        assert_eq!(numbers(&answer.body), [1, 2, 3]);
+        assert_eq!(event_ids(&answer.body), [1, 2, 3]);
     }
 }
 
 #[test]
 fn a_resumed_stream_has_each_event_once() {
     let (one, two) = (engine("i-1"), engine("i-2"));
-    one.set(&[Act::Broken(1, 3)]);
-    two.set(&[Act::Events(2, 6, 1)]);
+    one.set_actions(&[Action::Broken(1, 3)]);
+    two.set_actions(&[Action::Events(2, 6, 1)]);
     let router = Router::start(&configuration(1), &[&one, &two]);
-    // Chats differ in which upstream they go to first.
+    // The first choice of an upstream depends on the prompt.
     let mut resumed = 0;
     for chat in 0..12 {
         let prompt = format!("c{chat}:9,bb:1");
         let answer = router
-            .ask("POST /resumed/x", &[("Model", "m"), ("Prompt-Prefix", &prompt)], "b")
+            .request("POST /resumed/x", &[("Model", "m"), ("Prompt-Prefix", &prompt)], "b")
             .unwrap();
-        if numbers(&answer.body) == [1, 2, 3, 4, 5, 6] {
+        if event_ids(&answer.body) == [1, 2, 3, 4, 5, 6] {
             assert!(answer.whole);
             resumed += 1;
         }
@@ -96,30 +99,30 @@
 }
 
 #[test]
-fn a_caller_that_leaves_is_noticed_though_its_upstream_says_nothing() {
+fn detects_a_caller_disconnect_while_the_upstream_is_silent() {
     let engine = engine("i-1");
-    engine.set(&[Act::Stalled]);
-    // Nothing but the caller's leaving ends the request while the test waits.
-    let mut patient = configuration(1);
-    patient["routes"][2]["timeoutMs"] = 90_000.into();
-    let router = Router::start(&patient, &[&engine]);
+    engine.set_actions(&[Action::Stalled]);
+    // The timeouts exceed the test's, so that only the disconnect ends the request.
+    let mut long_timeout = configuration(1);
+    long_timeout["routes"][2]["timeoutMs"] = 90_000.into();
+    let router = Router::start(&long_timeout, &[&engine]);
     let mut caller = router.caller();
-    let patient = [("Deadline-Remaining", "90000")];
-    caller.request("POST /stream/x", &headers(&patient), "b");
-    router.until("sent", || !engine.requests().is_empty());
+    let deadline = [("Deadline-Remaining", "90000")];
+    caller.send("POST /stream/x", &headers(&deadline), "b");
+    router.wait_until("sent", || !engine.requests().is_empty());
     std::thread::sleep(std::time::Duration::from_millis(200));
     drop(caller);
-    router.until("left", || engine.left() == 1);
+    router.wait_until("closing the upstream's stream", || engine.disconnects() == 1);
 }
 
 #[test]
-fn a_caller_that_leaves_ends_the_work_on_its_request() {
+fn a_caller_disconnect_ends_the_upstreams_stream() {
     let engine = engine("i-1");
-    engine.set(&[Act::Events(1, 400, 5)]);
+    engine.set_actions(&[Action::Events(1, 400, 5)]);
     let router = Router::start(&configuration(1), &[&engine]);
     let mut caller = router.caller();
-    caller.request("POST /stream/x", &headers(&[]), "b");
-    router.until("sent", || !engine.requests().is_empty());
+    caller.send("POST /stream/x", &headers(&[]), "b");
+    router.wait_until("sent", || !engine.requests().is_empty());
     drop(caller);
-    router.until("left", || engine.left() == 1);
+    router.wait_until("closing the upstream's stream", || engine.disconnects() == 1);
 }
