--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -9,7 +9,7 @@
 mod fleet;
 mod hints;
 mod path;
-mod places;
+mod permits;
 mod quarantine;
 mod restarts;
 mod restore;
--- a/tests/platform/soak.rs
+++ b/tests/platform/soak.rs
@@ -4,7 +4,7 @@
 
 mod callers;
 mod fleet;
-mod words;
+mod notices;
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicUsize};
@@ -75,8 +75,8 @@
     });
     let context = format!("seed {seed}: {:#?}", fleet.log);
     check(&fleet, &exchanges, &context);
-    words::check_backoffs(&fleet, &context);
-    words::check_leaving(&fleet, &exchanges, &context);
+    notices::check_backoffs(&fleet, &context);
+    notices::check_leaving(&fleet, &exchanges, &context);
     check_calm(&fleet, &context);
 }
 
--- a/tests/platform/standin/upstream.rs
+++ b/tests/platform/standin/upstream.rs
@@ -11,7 +11,7 @@
 use nix::sys::socket::{Shutdown, setsockopt, shutdown, sockopt};
 use serde_json::{Value, json};
 
-use super::word::Feedback;
+use super::feedback::Feedback;
 use super::{Backoff, Request};
 
 /// What the stand-in does with a request. Times are in milliseconds.
