--- a/components/experiment/src/overload/engine.rs
+++ b/components/experiment/src/overload/engine.rs
@@ -1,8 +1,8 @@
 //! A model of an engine: a batch of slots, a priority queue and a cache of prefixes.
 //!
-//! Each step generates one event per request. Its duration grows with the number of requests
-//! in the batch and with the prompt tokens that it prefills. A request gets its first event
-//! in the step that completes its prefill.
+//! Each step generates one event per prefilled request. The duration of a step grows with
+//! the number of requests in the batch and with the prompt tokens that it prefills. A
+//! request gets its first event in the step that completes its prefill.
 
 use std::collections::VecDeque;
 
--- a/components/experiment/src/simulation.rs
+++ b/components/experiment/src/simulation.rs
@@ -45,7 +45,8 @@
     DirectoryUpdate { sidecar: usize, update: wire::DirectoryUpdate },
 }
 
-/// The receiver of the frames of a call.
+/// The receiver of the frames of a call. For a load report, `router` is `usize::MAX`, `id`
+/// is the index of the reporting sidecar, and `attempt` is 1 if the report is a sum.
 #[derive(Clone, Copy)]
 struct Origin {
     router: usize,
--- a/components/experiment/src/surge.rs
+++ b/components/experiment/src/surge.rs
@@ -1,4 +1,4 @@
-//! The load bound while one workspace sends ten times its load and engines fail.
+//! The load bound while one workspace adds ten times its usual load and engines fail.
 
 use placement::Bound;
 
@@ -13,7 +13,7 @@
 const END_MS: u64 = 100_000;
 
 /// The floor of the bound: more than four times the maximum weight of a request.
-const FLOOR: u64 = 4_000;
+const BOUND_FLOOR_TOKENS: u64 = 4_000;
 
 /// A third of the engines fail in the middle of the surge.
 const OUTAGE: Outage = Outage { at_ms: 30_000, every_nth: 3, hosts_lag_ms: 2_000 };
@@ -74,10 +74,11 @@
     }
 }
 
-/// Simulates nine workspaces for a minute. For 20 s, one sends eleven times its
-/// usual load in six chats, which hashing alone would place on few engines.
+/// Simulates nine workspaces for a minute. For 20 s, one adds ten times its usual
+/// load in six chats, which hashing alone would place on few engines.
 pub fn run(variant: Variant) -> Outcome {
-    let bound = Bound { multiple: 1.25, floor: FLOOR, margin: variant.margin, extra: 0 };
+    let bound =
+        Bound { multiple: 1.25, floor: BOUND_FLOOR_TOKENS, margin: variant.margin, extra: 0 };
     let setup = Setup {
         seed: variant.seed,
         routers: 3,
--- a/components/experiment/tests/bound.rs
+++ b/components/experiment/tests/bound.rs
@@ -1,4 +1,4 @@
-//! The load bound of a pool while one workspace sends ten times its load.
+//! The load bound of a pool while one workspace adds ten times its usual load.
 
 use experiment::surge::{Variant, run};
 
--- a/components/experiment/tests/overload.rs
+++ b/components/experiment/tests/overload.rs
@@ -9,10 +9,12 @@
 const OVERLOAD: std::ops::Range<usize> = 4..10;
 const RECOVERED: std::ops::Range<usize> = 14..16;
 
+/// Runs the pattern with admission control.
 fn with(pattern: Pattern) -> Report {
     run(pattern, Mechanisms::default(), SEED)
 }
 
+/// Runs the pattern without admission control.
 fn without(pattern: Pattern) -> Report {
     run(pattern, Mechanisms { admission: false, ..Mechanisms::default() }, SEED)
 }
--- a/components/experiment/tests/placement.rs
+++ b/components/experiment/tests/placement.rs
@@ -3,8 +3,8 @@
 use experiment::placement::{Scenario, run};
 use routing::Policy;
 
-fn found_percent(policy: Policy, scene: Scenario) -> u64 {
-    let outcome = run(policy, scene, 0.1, 1);
+fn found_percent(policy: Policy, scenario: Scenario) -> u64 {
+    let outcome = run(policy, scenario, 0.1, 1);
     100 * outcome.found / outcome.returning
 }
 
--- a/components/link/src/error.rs
+++ b/components/link/src/error.rs
@@ -47,7 +47,7 @@
     WrongPeer {
         /// The name that was expected at the address.
         expected: String,
-        /// The name in the greeting.
+        /// The name in the answer to the greeting.
         found: String,
     },
     /// A frame can't be encoded or decoded.
--- a/components/load/src/retry.rs
+++ b/components/load/src/retry.rs
@@ -4,7 +4,7 @@
 
 const MAX_RETRIES: u32 = 40;
 
-/// Sends a request, and retries it after refusals that say that it did not run and when to retry.
+/// Sends a request, and retries it after refusals with the outcome `not_run` and a retry delay.
 ///
 /// # Errors
 ///
--- a/tests/platform/backoff.rs
+++ b/tests/platform/backoff.rs
@@ -1,7 +1,7 @@
 //! Upstreams that send a backoff or a leaving notice with their answers.
 //!
 //! Guards against routers that keep sending to an upstream that refuses everything: refused
-//! requests are no load, so that it looks idle and ranks first.
+//! requests are no load, so that the upstream looks idle and ranks first.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
--- a/tests/platform/caller.rs
+++ b/tests/platform/caller.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Read timeout of a connection.
-const TIMEOUT: Duration = Duration::from_secs(20);
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// An answer, complete or cut off.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -29,14 +29,14 @@
 impl Caller {
     pub fn connect(address: &str) -> Self {
         let stream = TcpStream::connect(address).expect("the router listens");
-        stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
+        stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a socket");
         Self { reader: BufReader::new(stream) }
     }
 
-    /// Connects with the read timeout `limit`; `None` if the router does not listen.
-    pub fn try_connect(address: &str, limit: Duration) -> Option<Self> {
+    /// Connects with this read timeout; `None` if the router does not listen.
+    pub fn try_connect(address: &str, read_timeout: Duration) -> Option<Self> {
         let stream = TcpStream::connect(address).ok()?;
-        stream.set_read_timeout(Some(limit)).ok()?;
+        stream.set_read_timeout(Some(read_timeout)).ok()?;
         Some(Self { reader: BufReader::new(stream) })
     }
 
--- a/tests/platform/configuration.rs
+++ b/tests/platform/configuration.rs
@@ -184,7 +184,7 @@
     router.reduce_polls();
     let before = router.store.targets_during_watches().len();
     let polls = router.store.targets().len();
-    // Its changes or its whole value.
+    // Requests for the changes of the configuration or for its whole value.
     let reads_configuration = |target: &&String| target.contains("=op/config");
     router.wait_until("polling for upstreams", || {
         router.store.targets()[polls..].iter().filter(reads_configuration).count() > 3
@@ -213,7 +213,7 @@
         router.log().iter().any(|line| line["kv"]["upstreams"] == 1)
     });
     let failed = |line: &&serde_json::Value| line["payload"] == "the store does not answer";
-    // Once, when the store rejected the poll.
+    // The only failed poll is the one that the store rejected.
     assert_eq!(router.log().iter().filter(failed).count(), 1, "{:?}", router.log());
 }
 
--- a/tests/platform/discovery.rs
+++ b/tests/platform/discovery.rs
@@ -3,7 +3,7 @@
 use crate::router::{Router, configuration, plain_pair, unused_host};
 use crate::standin::{Mode, Upstream};
 
-/// Whether all of ten requests go to `upstream`.
+/// Sends ten requests; returns whether all go to `upstream`.
 fn all_go_to(router: &Router, upstream: &Upstream) -> bool {
     let before = upstream.requests().len();
     for number in 0..10 {
@@ -138,7 +138,7 @@
     router.store.remove(&one.key());
     router.store.set_mode(Mode::Up);
     router.wait_until("polling the store again", || router.has_logged("the store answers again"));
-    // Seen by the read, as the history of the outage is not requested.
+    // The full read shows the removal; the history of the outage is not requested.
     router.wait_until("without the missing upstream", || all_go_to(&router, &two));
 }
 
@@ -147,7 +147,7 @@
     let [one, two] = plain_pair();
     let mut long = configuration(1);
     long["note"] = "x".repeat(300_000).into();
-    // 400 KB at 160 KB/s take longer than the 1.5 s after which a silent store is given up.
+    // 400 KB at 160 KB/s take longer than the 1.5 s after which a call to a silent store fails.
     let router = Router::start_unready(&unused_host(), |store| {
         store.put("op/config", &long);
         store.put(&one.key(), &one.entry("ready", 1));
--- a/tests/platform/evacuation.rs
+++ b/tests/platform/evacuation.rs
@@ -26,7 +26,7 @@
     (router, evacuated, other)
 }
 
-/// The number of ten requests that go to `upstream`.
+/// Sends ten requests; returns how many of them go to `upstream`.
 fn send_ten(router: &Router, upstream: &Upstream) -> usize {
     let before = upstream.requests().len();
     for number in 0..10 {
@@ -71,7 +71,7 @@
     router.wait_until("saving its upstreams", || router.store.contains_key(SAVED_UPSTREAMS));
     let saved = router.store.text(SAVED_UPSTREAMS).expect("a text");
     drop(router);
-    // The evacuated upstream has no entry any more and comes from the saved ones.
+    // The evacuated upstream has no entry any more and is read from the saved ones.
     let router = Router::start_unready(&unused_host(), |store| {
         store.put("op/config", &configuration(1));
         store.put(&other.key(), &entry_in(&other, "zone-b"));
@@ -130,7 +130,7 @@
         });
         router.wait_until("ready", || router.is_ready());
         assert_eq!((send_ten(&router, &inside), send_ten(&router, &outside)), (10, 0));
-        // Refused rather than sent outside.
+        // Requests are refused rather than sent to another region.
         router.store.remove(&inside.key());
         router.wait_until("refusing", || {
             router.request("GET /safe/x", &[], "").unwrap().status == 503
--- a/tests/platform/fleet.rs
+++ b/tests/platform/fleet.rs
@@ -60,7 +60,7 @@
     let message = "store source changed";
     let last = router.log().into_iter().rfind(|line| line["payload"] == message);
     let from = last.and_then(|line| line["kv"]["from"].as_str().map(str::to_owned));
-    // Only changes of the source are logged.
+    // Without a change, the source is the store.
     from.unwrap_or_else(|| "the store".to_owned())
 }
 
--- a/tests/platform/permits.rs
+++ b/tests/platform/permits.rs
@@ -9,7 +9,7 @@
 
 /// Slots of the upstream, and requests that it accepts at once.
 const SLOTS: usize = 6;
-const CAPACITY: usize = 12;
+const CAPACITY_REQUESTS: usize = 12;
 
 /// Processing time of a request.
 const DURATION_MS: u64 = 40;
@@ -26,7 +26,7 @@
 /// An upstream with few slots, and its entry in the store.
 fn small_upstream() -> (Upstream, serde_json::Value) {
     let upstream = Upstream::start(&unused_host(), "i-1", "plain");
-    upstream.set_actions(&[Action::Capacity(CAPACITY, DURATION_MS)]);
+    upstream.set_actions(&[Action::Capacity(CAPACITY_REQUESTS, DURATION_MS)]);
     let mut entry = upstream.entry("ready", 2);
     entry["slots"] = json!(SLOTS);
     (upstream, entry)
--- a/tests/platform/quarantine.rs
+++ b/tests/platform/quarantine.rs
@@ -53,8 +53,8 @@
     std::thread::sleep(PROPAGATION_TIMEOUT);
 }
 
-/// Checks that the routers refuse the fatal request, six times each, with few further crashes, and
-/// serve other work.
+/// Sends the fatal request to each router six times. Checks that few of these reach an engine, that
+/// the next one is refused, and that other work is served.
 fn check_quarantine(routers: &[&Router], engines: &[Upstream], path: &str) {
     let before = fatal_requests(engines);
     for number in 10..16 {
--- a/tests/platform/restore.rs
+++ b/tests/platform/restore.rs
@@ -24,7 +24,7 @@
     router.request("GET /safe/x", &[("Attempt-Identifier", &id)], "").expect("an answer")
 }
 
-/// The number of ten requests that go to `upstream`.
+/// Sends ten requests; returns how many of them go to `upstream`.
 fn send_ten(router: &Router, upstream: &Upstream) -> usize {
     let before = upstream.requests().len();
     for number in 0..10 {
@@ -160,7 +160,7 @@
     assert!((0..20).all(|number| send(&router, number).status == 200));
     router.store.put(&one.key(), &one.entry("ready", 2));
     std::thread::sleep(REWRITE_TIMEOUT);
-    // The other one did not write again.
+    // The other upstream did not write its entry again.
     router.wait_until("without the missing upstream", || send_ten(&router, &two) == 0);
     assert!(send_ten(&router, &one) > 0);
 }
@@ -179,7 +179,7 @@
         wait_until_restored(&router, times);
         assert_eq!(send_ten(&router, &remaining), 10, "{times}");
     }
-    // A new entry of its own brings it back.
+    // The upstream is used again once it writes a new entry.
     router.store.put(&removed.key(), &removed.entry("ready", 2));
     router.wait_until("using the upstream again", || send_ten(&router, &removed) > 0);
 }
--- a/tests/platform/router.rs
+++ b/tests/platform/router.rs
@@ -215,7 +215,7 @@
         self.wait_until("failing to poll the store", || {
             self.has_logged("the store does not answer")
         });
-        // Their history exceeds the 512 KB from which on polls are reduced.
+        // The history of these versions exceeds the 512 KB from which on polls are reduced.
         for version in 2..9 {
             long["version"] = version.into();
             self.store.put("op/config", &long);
--- a/tests/platform/soak/fleet.rs
+++ b/tests/platform/soak/fleet.rs
@@ -172,7 +172,7 @@
                 self.undo.push((until, Undo::Entry(index)));
             }
             Fault::AskForRest => {
-                // Longer than the fault, so that it must be kept while requests are served again.
+                // Longer than the fault, so that the backoff lasts while the upstream serves again.
                 let backoff = Duration::from_millis(random.random_range(2_500..6_000));
                 self.upstreams[index].set_backoff(Some(backoff));
                 self.undo.push((until, Undo::Backoff(index)));
--- a/tests/platform/stop.rs
+++ b/tests/platform/stop.rs
@@ -15,7 +15,7 @@
     router.wait_until("sent", || !upstream.requests().is_empty());
     router.signal(Signal::SIGTERM);
     router.wait_until("not ready", || !router.is_ready());
-    // New requests are still served, with a request to close the connection.
+    // New requests are still served, on connections that are closed after the answer.
     let answer = router.request("POST /stream/x", &[], "b").unwrap();
     assert_eq!((answer.status, answer.whole), (200, true));
     assert_eq!(answer.headers["connection"], "close");
