--- a/components/admission/src/pool.rs
+++ b/components/admission/src/pool.rs
@@ -83,7 +83,7 @@
         self.order = Some(peers);
     }
 
-    /// Records a report and returns the pool as this member knows it.
+    /// Records a report and returns the load of the pool as known to this member.
     pub(crate) fn receive(&mut self, report: &Report, now: Millis) -> Pool {
         if report.sum {
             self.sums.record(report, now);
--- a/components/edge/src/store.rs
+++ b/components/edge/src/store.rs
@@ -78,7 +78,7 @@
     /// Its direct and indirect subscribers.
     #[serde(default)]
     pub hearers: Vec<Peer>,
-    /// The largest fleet size that the router has seen.
+    /// The largest fleet size that the router has counted.
     #[serde(default)]
     pub most: usize,
 }
@@ -167,8 +167,8 @@
     /// Fails with [`Error::HistoryGone`] like [`Store::watch`].
     fn catch_up(&self, revision: Revision, wait: Millis) -> BatchFuture<'_>;
 
-    /// Reads the announcements of all routers. With `allow_stale`, the answer may be some seconds old
-    /// and is cheaper for the store.
+    /// Reads the announcements of all routers. With `allow_stale`, the answer may be some seconds
+    /// old and is cheaper for the store.
     fn announcements(
         &self,
         allow_stale: bool,
@@ -190,7 +190,7 @@
     /// Grants a lease that ends `ttl` after its last renewal.
     fn grant_lease(&self, ttl: Millis) -> LocalBoxFuture<'_, Result<Lease, Error>>;
 
-    /// Writes the crashes that `router` has seen, replacing its previous report. The report is
+    /// Writes the crashes that `router` has observed, replacing its previous report. The report is
     /// removed with the lease.
     fn report_crashes(
         &self,
--- a/components/fleet/src/answers.rs
+++ b/components/fleet/src/answers.rs
@@ -7,7 +7,8 @@
 /// How long an answer is reused: the remaining durations in it are outdated by that much.
 const ANSWER_TTL: Millis = Millis(500);
 
-/// Routers that query at the same time know different revisions.
+/// Maximum number of cached answers: routers that query at the same time may be at different
+/// revisions.
 const MAX_ANSWERS: usize = 4;
 
 /// What has changed after `after`, or all facts if it is `None`, up to `revision`.
--- a/components/fleet/src/freshness.rs
+++ b/components/fleet/src/freshness.rs
@@ -6,16 +6,17 @@
 /// leaves time to query another router before the last confirmation is too old.
 pub const ANSWER_TIMEOUT: Millis = Millis(400);
 
-/// Wait time of a query by a router whose last confirmation is stale.
+/// Shortest wait time of a query, used while the last confirmation is stale.
 const MIN_WAIT: Millis = Millis(300);
 
-/// A router that polls the store has something newer with each poll.
+/// Longest wait time of a query; a router that polls the store has a newer confirmation with each
+/// poll.
 const MAX_WAIT: Millis = Millis(1_200);
 
-/// The age at which a confirmation is stale, however long it is valid.
+/// Upper bound of the age at which a confirmation is stale.
 const MAX_STALE_AGE: Millis = Millis(1_800);
 
-/// The age that confirmations reach at all routers while the store answers slowly.
+/// Lower bound of that age: confirmations reach it at all routers while the store answers slowly.
 const MIN_STALE_AGE: Millis = Millis(1_400);
 
 /// How much of the grace period is skipped after a short gap; the rest still lets each upstream
--- a/components/fleet/src/gossip.rs
+++ b/components/fleet/src/gossip.rs
@@ -102,7 +102,8 @@
     pub fn flush(&mut self, neighbours: &Neighbours, now: Millis) -> Vec<(Peer, Bytes)> {
         let encoded: Vec<_> = self.pending.drain(..).filter_map(|hint| encode(hint, now)).collect();
         let mut datagrams = Vec::new();
-        // Hints of the source and of other pollers have already been sent to the others of them.
+        // Hints of the source are not sent back to it, and the poller that a hint comes from has
+        // sent it to all other pollers.
         let goes_up =
             |hint: &&EncodedHint| matches!(hint.origin, Origin::Own | Origin::Subscriber(_));
         for peer in neighbours.source.iter().chain(&neighbours.pollers) {
--- a/components/fleet/src/sources.rs
+++ b/components/fleet/src/sources.rs
@@ -11,8 +11,8 @@
 use crate::locality::Locality;
 use crate::referrals::Referrals;
 
-/// The pollers of a fleet with one failure domain. Of several domains each has one, as the others
-/// cover its loss.
+/// The number of pollers in a fleet with one failure domain. With several domains each has one, as
+/// the others cover its loss.
 const SINGLE_DOMAIN_POLLERS: usize = 2;
 
 /// How long a router remains a poller after it became one for lack of a useful answer. Pollers
@@ -48,8 +48,8 @@
 /// The time between the polls of a domain's routers while the store does not answer.
 const FALLBACK_INTERVAL: Millis = Millis(1_000);
 
-/// How long a started router does not become a poller while others can be queried, as it does not
-/// know all routers yet.
+/// How long a started router does not become a poller while others can be queried, as its list
+/// of routers may be incomplete.
 const STARTUP_TIME: Millis = Millis(3_000);
 
 /// How many possible successors of the pollers may be queried, after all other candidates.
@@ -140,11 +140,11 @@
     /// changed.
     pub fn update_role(&mut self, roster: &mut Roster, now: Millis) -> bool {
         roster.refresh(now);
-        let (pollers, wanted) = (self.local_pollers(roster, now), self.wanted(roster, now));
+        let (pollers, required) = (self.local_pollers(roster, now), self.required(roster, now));
         let changes = if self.is_poller {
-            self.should_step_down(&pollers, wanted, now)
+            self.should_step_down(&pollers, required, now)
         } else {
-            self.should_become_poller(&pollers, wanted, roster, now)
+            self.should_become_poller(&pollers, required, roster, now)
         };
         if changes {
             self.is_poller = !self.is_poller;
@@ -155,7 +155,7 @@
     }
 
     /// How many pollers this domain needs.
-    fn wanted(&self, roster: &Roster, now: Millis) -> usize {
+    fn required(&self, roster: &Roster, now: Millis) -> usize {
         let is_remote = |peer: &Peer| {
             peer.domain != self.own.domain
                 && !peer.domain.is_empty()
@@ -172,10 +172,10 @@
     }
 
     /// Whether enough pollers have ranked before this one for [`SURPLUS_TIMEOUT`].
-    fn should_step_down(&mut self, pollers: &[Peer], wanted: usize, now: Millis) -> bool {
+    fn should_step_down(&mut self, pollers: &[Peer], required: usize, now: Millis) -> bool {
         let own = rank(&self.own);
         let before = pollers.iter().filter(|poller| rank(poller) < own).count();
-        if before < wanted || now < self.poller_until {
+        if before < required || now < self.poller_until {
             self.surplus_since = None;
             return false;
         }
@@ -186,11 +186,11 @@
     fn should_become_poller(
         &mut self,
         pollers: &[Peer],
-        wanted: usize,
+        required: usize,
         roster: &mut Roster,
         now: Millis,
     ) -> bool {
-        if pollers.len() >= wanted {
+        if pollers.len() >= required {
             self.shortage_since = None;
             return false;
         }
@@ -209,7 +209,7 @@
         };
         let before = roster.routers(now).filter(|peer| is_before(peer)).count();
         // All missing pollers are replaced at the same time.
-        let turn = before / (wanted - pollers.len());
+        let turn = before / (required - pollers.len());
         since.until(now).0 >= SUCCESSION_INTERVAL.0 * (turn as u64 + 1)
     }
 
--- a/components/fleet/src/subscribers.rs
+++ b/components/fleet/src/subscribers.rs
@@ -9,8 +9,8 @@
 /// How long a router stays a subscriber after its last query; its queries wait for less time.
 const SUBSCRIPTION_TTL: Millis = Millis(3_000);
 
-/// Limits the direct subscribers, and so the upload of each change. As many routers may be
-/// answered once.
+/// Limits the direct subscribers, and so the upload of each change. As many further routers
+/// may be answered once.
 const MAX_SUBSCRIBERS: usize = 24;
 
 /// How long a referral to other routers is remembered.
--- a/components/intents/src/keys.rs
+++ b/components/intents/src/keys.rs
@@ -1,4 +1,4 @@
-//! Serializes the digests of a workspace's keys: one as a string, others as a list.
+//! Serializes the digests of a workspace's keys: a single one as a string, otherwise a list.
 
 use std::sync::Arc;
 
--- a/components/permits/src/issuer.rs
+++ b/components/permits/src/issuer.rs
@@ -22,7 +22,8 @@
 /// How long a decision is kept, to answer repeated claims.
 const DECISION_RETENTION: Millis = Millis(3_000);
 
-/// The number of stored decisions above which expired ones are dropped.
+/// The number of stored decisions above which old ones are dropped: those past the retention, then
+/// those past a quarter of it.
 const PRUNE_THRESHOLD: usize = 8_192;
 
 /// How long a pool must go without waiting or refused requests before it counts as recovered.
--- a/components/permits/src/requester.rs
+++ b/components/permits/src/requester.rs
@@ -29,7 +29,7 @@
 /// How many times a release is sent, as datagrams may be lost.
 const RELEASE_SENDS: u32 = 2;
 
-/// How long after an unanswered claim requests wait no longer than two round trips for the owner.
+/// How long after an unanswered claim other claims wait for the owner at most two round trips.
 const SILENCE_BACKOFF: Millis = Millis(400);
 
 /// The largest number of releases in a message. The limits for claims and renewals derive from it,
@@ -37,7 +37,7 @@
 const MAX_RELEASES: usize = 8;
 
 /// The lowest rate assumed for a pool, in requests per millisecond.
-const MIN_RATE: f64 = 0.001;
+const MIN_RATE_PER_MS: f64 = 0.001;
 
 /// The shortest retry time that this router gives without the owner.
 const MIN_RETRY_AFTER: Millis = Millis(100);
@@ -150,16 +150,16 @@
     }
 
     /// Releases a permit or withdraws a claim.
-    pub fn release(&mut self, number: u64, end: Finish, took: Millis) {
+    pub fn release(&mut self, number: u64, end: Finish, elapsed: Millis) {
         let upstream = self.held.remove(&number);
         let pending = self.pending.remove(&number).is_some();
         if upstream.is_some() || pending {
-            self.push_release(number, &upstream.unwrap_or_default(), end, took);
+            self.push_release(number, &upstream.unwrap_or_default(), end, elapsed);
         }
     }
 
-    fn push_release(&mut self, number: u64, upstream: &Arc<str>, end: Finish, took: Millis) {
-        let elapsed_ms = u32::try_from(took.0).unwrap_or(u32::MAX);
+    fn push_release(&mut self, number: u64, upstream: &Arc<str>, end: Finish, elapsed: Millis) {
+        let elapsed_ms = u32::try_from(elapsed.0).unwrap_or(u32::MAX);
         let release = Release { number, upstream: upstream.clone(), end, elapsed_ms };
         self.releases.push((release, RELEASE_SENDS));
     }
@@ -216,7 +216,7 @@
         self.release(number, Finish::Unused, Millis::ZERO);
         let routers = f64::from(u32::try_from(routers.max(1)).unwrap_or(u32::MAX));
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "bounded")]
-        let interval = (routers / self.rate.max(MIN_RATE)) as u64;
+        let interval = (routers / self.rate.max(MIN_RATE_PER_MS)) as u64;
         if self.next_send > now {
             let after =
                 Millis(now.until(self.next_send).0.clamp(MIN_RETRY_AFTER.0, MAX_RETRY_AFTER.0));
--- a/components/router/src/clients.rs
+++ b/components/router/src/clients.rs
@@ -21,7 +21,7 @@
 }
 
 impl Clients {
-    /// Creates the platform's edges, the client for upstreams and the socket for hints.
+    /// Creates the platform's adapter, the client for upstreams and the socket for hints.
     ///
     /// # Errors
     ///
--- a/components/router/src/core.rs
+++ b/components/router/src/core.rs
@@ -295,7 +295,7 @@
         self.clients.is_some()
     }
 
-    /// The platform's edges.
+    /// The adapter of the platform.
     ///
     /// # Panics
     ///
--- a/components/router/src/direct.rs
+++ b/components/router/src/direct.rs
@@ -18,11 +18,11 @@
 use crate::template::Template;
 
 /// The status of a response from another upstream than the intended one.
-const MISDIRECTED: u16 = 421;
+const MISDIRECTED_STATUS: u16 = 421;
 
 /// The most bytes of a response that are buffered until it is complete, so that another upstream
 /// can still be tried. Longer responses are forwarded as they arrive.
-const MAX_BUFFERED: usize = 64 * 1024;
+const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 
 /// The attempt ended without a valid final reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -91,8 +91,8 @@
         };
         let outgoing = build_request(core, template, &dispatch);
         let (client, address) = (core.client().clone(), attempt.address.clone());
-        let fresh = attempt.new_connection;
-        let answer = Box::pin(async move { client.send(address, outgoing, fresh).await });
+        let new_connection = attempt.new_connection;
+        let answer = Box::pin(async move { client.send(address, outgoing, new_connection).await });
         Self {
             core: core.clone(),
             request: request.clone(),
@@ -151,7 +151,7 @@
             return Err(AttemptFailure { sent: true });
         }
         // The feedback of another upstream at this address must not be attributed to this one.
-        if status != MISDIRECTED {
+        if status != MISDIRECTED_STATUS {
             self.apply_feedback(&feedback);
         }
         if feedback.not_run {
@@ -203,7 +203,7 @@
     }
 
     /// Handles bytes of the body: complete events of a stream are forwarded at once, anything else
-    /// is buffered up to [`MAX_BUFFERED`].
+    /// is buffered up to [`MAX_BUFFERED_BYTES`].
     fn handle_bytes(&mut self, bytes: &[u8]) -> Result<(), AttemptFailure> {
         if let Some(events) = &mut self.events {
             let complete = events.push(bytes).map_err(|_| AttemptFailure { sent: true });
@@ -213,7 +213,7 @@
             return Ok(());
         }
         self.buffer.extend_from_slice(bytes);
-        if self.head.is_none() || self.buffer.len() > MAX_BUFFERED {
+        if self.head.is_none() || self.buffer.len() > MAX_BUFFERED_BYTES {
             let buffer = self.buffer.split().freeze();
             self.forward(buffer, None);
         }
@@ -274,7 +274,7 @@
 
 /// The refusal of an upstream that did not run the request.
 fn refusal(status: u16) -> Reply {
-    let kind = if status == MISDIRECTED { Kind::Leaving } else { Kind::QueueFull };
+    let kind = if status == MISDIRECTED_STATUS { Kind::Leaving } else { Kind::QueueFull };
     let (hints, status) = (Vec::new(), Status::default());
     Reply::Refused(Refused { kind, retry_after_ms: 0, hints, status })
 }
--- a/components/router/src/factory.rs
+++ b/components/router/src/factory.rs
@@ -40,9 +40,9 @@
     async fn start(&self) -> Rc<Core> {
         let clients = self.clients().await;
         let (stop, reload) = (self.stop.clone(), self.reload.clone());
-        let (core, outbox) =
+        let (core, directory_updates) =
             Core::new(self.settings.clone(), None, Some(clients), stop, reload).await;
-        background::spawn(&core, outbox);
+        background::spawn(&core, directory_updates);
         core
     }
 
--- a/components/router/src/feed/facts.rs
+++ b/components/router/src/feed/facts.rs
@@ -143,7 +143,7 @@
                 }
             }
             Fact::SavedHosts(hosts) => deferred.saved_upstreams = hosts,
-            Fact::SavedPrefixes(parts) => deferred.saved_prefixes = parts,
+            Fact::SavedPrefixes(prefixes) => deferred.saved_prefixes = prefixes,
             Fact::Crashes { router, crashes } => {
                 if router == self.core.settings.name {
                     self.core.crashes.load(&crashes);
@@ -162,7 +162,7 @@
     }
 
     /// Removes an upstream whose entry can't be read. Logs the entry once until it becomes readable
-    /// or goes.
+    /// or is removed.
     fn drop_unreadable(&mut self, entry: &Arc<str>, reason: &str, deferred: &mut Deferred) {
         deferred.changed |= self.listing.drop_unreadable(entry);
         if self.unreadable.len() < MAX_LOGGED_UNREADABLE && self.unreadable.insert(entry.clone()) {
--- a/components/router/src/fleet.rs
+++ b/components/router/src/fleet.rs
@@ -31,7 +31,7 @@
 }
 
 impl Fleet {
-    /// Creates a router that knows of no others at `now`.
+    /// Creates the state of the router `own` at `now`, without any other routers.
     pub(crate) fn new(own: Peer, now: Millis) -> Self {
         Self {
             sources: RefCell::new(Sources::new(own.clone(), now)),
@@ -229,7 +229,7 @@
     }
 
     /// This router's own announcement, if it polls the store and `facts` lack it. Subscribers would
-    /// take this router to be gone otherwise.
+    /// otherwise treat this router as gone.
     fn own_announcement(&self, facts: &[Fact], now: Millis) -> Option<Fact> {
         let is_own =
             |fact: &Fact| matches!(fact, Fact::Router(known) if known.router.name == self.own.name);
--- a/components/router/src/hints.rs
+++ b/components/router/src/hints.rs
@@ -14,7 +14,7 @@
 use crate::peers::{Peers, Tally};
 
 /// The longest datagram that is read, in bytes.
-const MAX_DATAGRAM: usize = 16 * 1_024;
+const MAX_DATAGRAM_BYTES: usize = 16 * 1_024;
 
 /// How often changed loads of this router are sent.
 const LOADS_INTERVAL: Millis = Millis(100);
@@ -77,7 +77,7 @@
 /// Sends the load observations from answers.
 fn publish_observations(core: &Core, peers: &Peers) {
     let observations = core.take_observations();
-    // Without loads, the frame only reports that the configuration is current. In a large fleet
+    // Without entries, the frame only reports that the configuration is current. In a large fleet
     // only pollers send that.
     if peers.is_large() && observations.upstreams.is_empty() && !core.fleet().is_poller() {
         return;
@@ -121,7 +121,7 @@
 /// Receives hints until shutdown.
 pub(crate) async fn receive(core: Rc<Core>) {
     let Some(peers) = core.peers() else { return };
-    let mut buffer = [0; MAX_DATAGRAM];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
         match peers.receive(&mut buffer).await {
             Ok((length, from)) => receive_datagram(&core, &buffer[..length], from),
--- a/components/router/src/http.rs
+++ b/components/router/src/http.rs
@@ -56,8 +56,8 @@
 impl Caller {
     /// Checks the workspace key: `Authorization: Bearer WORKSPACE:KEY`.
     fn check(core: &Core, request: &HttpRequest) -> Result<Self, HttpResponse> {
-        let (id, name) = core.next_id();
-        let refuse = |kind| Err(refusal(core, kind, &name, ""));
+        let (id, public_id) = core.next_id();
+        let refuse = |kind| Err(refusal(core, kind, &public_id, ""));
         let Some(plan) = core.plan() else {
             return refuse(Kind::NoConfiguration);
         };
@@ -69,7 +69,7 @@
         if !plan.authenticate(workspace, key) {
             return refuse(Kind::Unauthorized);
         }
-        Ok(Self { workspace: workspace.into(), id, request: name })
+        Ok(Self { workspace: workspace.into(), id, request: public_id })
     }
 
     fn refuse(&self, core: &Core, kind: Kind, detail: &str) -> HttpResponse {
--- a/components/router/src/key.rs
+++ b/components/router/src/key.rs
@@ -40,7 +40,7 @@
     format!("{}.{:x}", owner.upstream, owner.incarnation)
 }
 
-/// Parses the output of [`write_owner`].
+/// Parses the output of [`format_owner`].
 pub(crate) fn parse_owner(text: &str) -> Option<Owner> {
     let (upstream, incarnation) = text.split_once('.')?;
     let incarnation = u64::from_str_radix(incarnation, 16).ok()?;
--- a/components/router/src/peers.rs
+++ b/components/router/src/peers.rs
@@ -2,8 +2,8 @@
 //!
 //! A hint is one datagram to each other router, or in large fleets to each neighbour, which
 //! forwards it. Datagrams are neither acknowledged nor sent again: a lost hint of warm prefixes
-//! costs a copy or a second prefill, and loads that have not been received for a second are
-//! ignored.
+//! costs a copy or a second prefill, and loads are ignored once none have been received for a
+//! second.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
--- a/components/router/src/permits.rs
+++ b/components/router/src/permits.rs
@@ -51,7 +51,8 @@
     broadcast_at: Option<Millis>,
     /// When the issuer last got the upstreams of the pool.
     upstreams_set_at: Option<Millis>,
-    /// When the saturation ended. Claims of routers that don't know yet are still decided.
+    /// When the saturation ended. Claims of routers that have not received its end
+    /// are still decided.
     recovered_at: Option<Millis>,
 }
 
--- a/components/router/src/prompt.rs
+++ b/components/router/src/prompt.rs
@@ -8,7 +8,7 @@
 const BYTES_PER_TOKEN: u64 = 4;
 
 /// The assumed length of an answer if the request sets no limit.
-const DEFAULT_TOKENS: u64 = 256;
+const DEFAULT_ANSWER_TOKENS: u64 = 256;
 
 /// The parts of an OpenAI chat request that affect routing. The body is forwarded unchanged.
 #[derive(Debug, Deserialize)]
@@ -42,7 +42,8 @@
         if chat.messages.is_empty() {
             return Err("messages: at least one is needed".to_owned());
         }
-        let answer = chat.max_completion_tokens.or(chat.max_tokens).unwrap_or(DEFAULT_TOKENS);
+        let answer =
+            chat.max_completion_tokens.or(chat.max_tokens).unwrap_or(DEFAULT_ANSWER_TOKENS);
         let text_bytes: u64 = chat.messages.iter().map(|message| message.get().len() as u64).sum();
         let first_messages =
             || chat.messages.iter().take(2).map(|message| message.get()).collect::<String>().into();
--- a/components/router/src/report.rs
+++ b/components/router/src/report.rs
@@ -35,7 +35,7 @@
 }
 
 /// Logs a request that was refused before routing. `generation` is that of the configuration in
-/// force, `proof_ms` the time since it was last confirmed.
+/// force, `confirmation_age_ms` the time since it was last confirmed.
 pub(crate) fn log_refusal(
     request: &str,
     error: &str,
--- a/components/router/src/server.rs
+++ b/components/router/src/server.rs
@@ -54,9 +54,9 @@
         let (shared, stop_handle, changes) = (settings.clone(), stop.clone(), reload.subscribe());
         let factory = async move || {
             let plan = Some(plan.clone());
-            let (core, outbox) =
+            let (core, directory_updates) =
                 Core::new(shared.clone(), plan, None, stop_handle.clone(), changes.clone()).await;
-            background::spawn(&core, outbox);
+            background::spawn(&core, directory_updates);
             web::App::new().state(core).configure(http::routes)
         };
         let server = web::HttpServer::new(factory)
--- a/components/router/src/watch_scope.rs
+++ b/components/router/src/watch_scope.rs
@@ -24,7 +24,7 @@
         self.until = Some(now + REDUCED_DURATION);
     }
 
-    /// Widens the scope again when its time has come; returns whether it did. The caller then
+    /// Widens the scope again when that is due; returns whether it did. The caller then
     /// reads everything once.
     pub(crate) fn widen_if_due(&mut self, now: Millis) -> bool {
         let is_due = self.until.take_if(|until| *until <= now).is_some();
--- a/components/routing/src/admission/retry_after.rs
+++ b/components/routing/src/admission/retry_after.rs
@@ -9,7 +9,7 @@
 
 /// Fraction of a pool's completion rate that is booked for returning callers; the rest is for new
 /// requests.
-const RETRY_SHARE: f64 = 0.25;
+const RETRY_RATIO: f64 = 0.25;
 
 /// Shortest time over which a completion rate is measured, in milliseconds.
 const MIN_AGE_MS: f64 = 100.0;
@@ -69,7 +69,7 @@
         let age = millis_to_f64(first_at.until(now)).max(MIN_AGE_MS);
         let weight = 1.0 - 0.5_f64.powf(age / HALF_LIFE_MS);
         let rate = self.completions(now) / weight * std::f64::consts::LN_2 / HALF_LIFE_MS;
-        let gap = (1.0 / (RETRY_SHARE * rate)).min(millis_to_f64(MAX_RETRY_AFTER));
+        let gap = (1.0 / (RETRY_RATIO * rate)).min(millis_to_f64(MAX_RETRY_AFTER));
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
--- a/components/routing/src/effect.rs
+++ b/components/routing/src/effect.rs
@@ -8,7 +8,7 @@
 
 use crate::{Crash, Decision, Owner};
 
-/// An action for the edge to carry out.
+/// An action for the router process to carry out.
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Bind a key to `owner` in the platform's service, unless it has a key owner. Answered by
@@ -74,11 +74,11 @@
         /// Name of the upstream.
         upstream: Arc<str>,
     },
-    /// An upstream asked for a pause in requests; for the log.
+    /// An upstream asked for a backoff; for the log.
     Backoff {
         /// Name of the upstream.
         upstream: Arc<str>,
-        /// Length of the pause.
+        /// Length of the backoff.
         duration: Millis,
     },
     /// Check whether an upstream still accepts connections after a request broke off. Answered by
--- a/components/routing/src/event.rs
+++ b/components/routing/src/event.rs
@@ -140,11 +140,11 @@
         /// Name of the upstream.
         upstream: Arc<str>,
     },
-    /// An upstream asked in an answer for a pause in requests.
+    /// An upstream asked in an answer for a backoff.
     Backoff {
         /// Name of the upstream.
         upstream: Arc<str>,
-        /// Length of the pause.
+        /// Length of the backoff.
         duration: Millis,
     },
     /// An upstream reported its load in an answer.
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -1,7 +1,7 @@
 //! Reducer that makes a router's decisions, without clocks or sockets.
 //!
-//! [`State::apply`] takes an [`Event`] and the current time, and returns [`Effect`]s for the edge
-//! to carry out. Production, tests and capacity experiments use the same reducer.
+//! [`State::apply`] takes an [`Event`] and the current time, and returns [`Effect`]s for the
+//! router process to carry out. Production, tests and capacity experiments use the same reducer.
 
 mod admission;
 mod effect;
--- a/components/routing/src/recovery/quarantine.rs
+++ b/components/routing/src/recovery/quarantine.rs
@@ -209,7 +209,7 @@
         Vec::new()
     }
 
-    /// Attributes the end of an upstream to the requests that were interrupted there, and reports
+    /// Attributes the crash of an upstream to the requests that were interrupted there, and reports
     /// that.
     pub(crate) fn record_crash(&mut self, upstream: &Arc<str>, now: Millis) {
         let crash = |fingerprint| Crash {
--- a/components/routing/src/state.rs
+++ b/components/routing/src/state.rs
@@ -56,7 +56,7 @@
     pub(crate) confirmed_at: Option<Millis>,
     /// Work under which upstreams crashed.
     pub(crate) quarantine: Quarantine,
-    /// Upstreams that are leaving or asked for a pause.
+    /// Notices of upstreams that are leaving or asked for a backoff.
     pub(crate) upstream_notices: Notices,
     /// Loads reported by other routers.
     pub(crate) peers: Peers,
--- a/components/routing/src/upstreams/allocation.rs
+++ b/components/routing/src/upstreams/allocation.rs
@@ -11,7 +11,7 @@
 use crate::upstreams::estimate::Estimate;
 use crate::upstreams::upstream::Upstream;
 
-/// A pool is degraded if at least one of this many members is unavailable.
+/// A pool is degraded if at least one in this many members is unavailable.
 const DEGRADED_ONE_IN: usize = 4;
 
 /// Whether a considerable part of a pool is evacuated or cold.
--- a/components/routing/src/upstreams/cold.rs
+++ b/components/routing/src/upstreams/cold.rs
@@ -216,7 +216,8 @@
 }
 
 /// How many requests per window all routers together may send to a cold upstream; `None` where
-/// its pool has no limit. A window counts as one second, and the rest of it is a margin.
+/// its pool has no limit. The limit of one second holds for the whole window, whose excess is a
+/// margin.
 fn pool_limit(upstream: &Upstream, plan: &Plan, settings: &Settings) -> Option<u32> {
     let pool = plan.pool(&upstream.pool()).filter(|pool| pool.cold_per_s > 0.0)?;
     let limit = (pool.cold_per_s * settings.cold_multiple + settings.cold_extra) * ALLOCATED_RATIO;
--- a/components/routing/src/upstreams/estimate.rs
+++ b/components/routing/src/upstreams/estimate.rs
@@ -39,7 +39,7 @@
 
 impl Estimate {
     /// Whether the free capacity of upstreams is divided among the routers: all share the same
-    /// observations, and none knows the requests that the others have sent since.
+    /// observations, and none has reports of the requests that the others have sent since.
     pub(crate) fn is_allocating(&self, settings: &Settings) -> bool {
         let is_shared = self.observations_shared && !self.loads_known && !self.path.has_sidecars();
         settings.mechanisms.dealt_room && is_shared && self.router_key.is_some()
@@ -55,9 +55,9 @@
         self.routers.max(1.0) as u64
     }
 
-    /// The load of other routers at an upstream where this router has `own`, and `observed` at
-    /// `observed_at` is the latest observation. The observation decays to the expected load,
-    /// which grows with this router's own.
+    /// The load of other routers at an upstream where this router has the load `own`, and
+    /// `observed` at `observed_at` is the latest observation. The observation decays to the
+    /// expected load, which grows with this router's own.
     pub(crate) fn other_load(&self, own: f64, observed: f64, observed_at: Millis) -> f64 {
         let weight = self.weight(observed_at);
         weight * observed + (1.0 - weight) * self.expected(own)
@@ -80,7 +80,7 @@
         0.5_f64.powf(millis_to_f64(observed_at.until(self.now)) / HALF_LIFE_MS)
     }
 
-    /// The expected load of other routers at an upstream where this router has `own`.
+    /// The expected load of other routers at an upstream where this router has the load `own`.
     fn expected(&self, own: f64) -> f64 {
         if self.mean_load <= 0.0 {
             return 0.0;
--- a/components/routing/src/upstreams/listing.rs
+++ b/components/routing/src/upstreams/listing.rs
@@ -65,7 +65,8 @@
     }
 
     /// Inserts or replaces an entry, unless a later version is known: one of a later start, or of
-    /// the same start with a higher sequence number. Returns whether the host is new or has changed.
+    /// the same start with a higher sequence number. Returns whether the host is new or has
+    /// changed.
     pub fn put(&mut self, host: Host, sequence: u64) -> bool {
         let known = self.hosts.get(host.entry());
         let is_older = |entry: &Entry| match host.born.cmp(&entry.host.born) {
@@ -117,8 +118,8 @@
         false
     }
 
-    /// Lets an entry expire, unless it does already, that another router has reported as missing
-    /// after an outage.
+    /// Lets an entry expire that another router has reported as missing after an outage, unless it
+    /// is expiring already.
     pub fn mark_missing(&mut self, name: &str, now: Millis) {
         if let Some(entry) = self.hosts.get_mut(name) {
             entry.expires_at.get_or_insert(now + MISSING_TTL);
--- a/components/routing/src/upstreams/upstream.rs
+++ b/components/routing/src/upstreams/upstream.rs
@@ -45,7 +45,7 @@
 /// Exclusion reason: the request would exceed the load bound.
 pub(crate) const OVER_BOUND: &str = "over the load bound";
 
-/// State of an upstream as this router knows it. It may be outdated; a sidecar makes the final
+/// State of an upstream as known to this router. It may be outdated; a sidecar makes the final
 /// decision on admission.
 ///
 /// Loads are in the unit of request weights: tokens where sidecars report them, requests where
--- a/components/routing/tests/direct/refusals.rs
+++ b/components/routing/tests/direct/refusals.rs
@@ -1,4 +1,4 @@
-//! Upstreams that refuse requests without asking for a pause.
+//! Upstreams that refuse requests without asking for a backoff.
 //!
 //! A refused request adds no load, so that such upstreams look idle and would attract most of the
 //! requests.
--- a/components/shares/src/pool.rs
+++ b/components/shares/src/pool.rs
@@ -1,4 +1,4 @@
-//! The demand on a pool of upstreams, as one router knows it.
+//! The demand on a pool of upstreams, as known to one router.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/components/shares/src/view.rs
+++ b/components/shares/src/view.rs
@@ -9,7 +9,7 @@
 use crate::standing::{Rank, Standing};
 use crate::summary::{Summary, requests};
 
-/// The margin above 1 from which on a ratio counts as [`Rank::Over`]. Covers random arrivals and
+/// The margin by which a ratio must exceed 1 to count as [`Rank::Over`]. Covers random arrivals and
 /// differences between the views of routers.
 const TOLERANCE: f64 = 0.25;
 
@@ -26,8 +26,8 @@
     pub estimated: f64,
     /// The requests sent to the pool.
     pub served: f64,
-    /// The estimates from summaries that list the workspace: demand and served. They are subtracted,
-    /// as it is not part of their remainders.
+    /// The estimates from summaries that list the workspace: demand and served. They are
+    /// subtracted, as the workspace is not part of their remainders.
     excluded: (f64, f64),
 }
 
@@ -85,8 +85,8 @@
         Self::allocate(workspaces, unlisted, age, weight, now)
     }
 
-    /// Computes the shares. `unlisted` has the number of unlisted workspaces, and their total demand
-    /// and served requests.
+    /// Computes the shares. `unlisted` has the number of unlisted workspaces, and their total
+    /// demand and served requests.
     fn allocate(
         workspaces: BTreeMap<u64, Workspace>,
         unlisted: (f64, f64, f64),
--- a/components/wire/src/codec.rs
+++ b/components/wire/src/codec.rs
@@ -12,7 +12,7 @@
 const PREFIX_BYTES: usize = 4;
 
 /// The initial buffer, which grows for larger frames.
-const INITIAL_CAPACITY: usize = 256;
+const INITIAL_CAPACITY_BYTES: usize = 256;
 
 /// A frame that can't be written or read.
 #[derive(Debug, Snafu)]
@@ -60,7 +60,7 @@
 ///
 /// The frame is longer than [`MAX_FRAME_BYTES`] or can't be encoded.
 pub fn encode(frame: &Frame) -> Result<Bytes, Error> {
-    let mut buffer = BytesMut::with_capacity(INITIAL_CAPACITY);
+    let mut buffer = BytesMut::with_capacity(INITIAL_CAPACITY_BYTES);
     buffer.put_u32(0);
     let mut writer = buffer.writer();
     bincode::serde::encode_into_std_write(frame, &mut writer, config()).context(EncodeSnafu)?;
--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -136,7 +136,7 @@
 /// The queried router can't answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Referral {
-    /// Routers to query instead; empty if the queried one has just started.
+    /// Routers to query instead; empty if the queried one has no answer yet.
     pub routers: Vec<Peer>,
 }
 
@@ -174,7 +174,7 @@
     pub incarnation: u64,
     /// The load it carries, in tokens.
     pub load: u64,
-    /// Its pool, as far as it knows.
+    /// The load of its pool, as known to the sidecar.
     pub pool: Pool,
     /// Requests waiting in its queue.
     pub queued: u32,
